--- a/src/almondshift/policy/flow.py
+++ b/src/almondshift/policy/flow.py
@@ -1,15 +1,17 @@
-"""The most tokens a second that the hardware allows.
-
-Load pattern: none; this is the yardstick of throughput. Without it a figure
-of tokens a second says nothing of whether the router or the hardware sets
-it. Grounds: a token passes engines that cover every layer once and in order,
-so the bound is a maximum flow from layer 0 to the last through engines whose
-capacity is their rate with full batches, and over the links between
-availability zones.
-
-An engine's rate is that for all the layers it holds. Where ranges overlap a
-request may use fewer layers of an engine, which is then a little faster than
-counted; the bound is exact where ranges meet without overlap.
+"""Upper bound on the tokens per second that the hardware allows.
+
+Load pattern: none; this is the reference for throughput. Without it, a figure
+of tokens per second doesn't show whether the router or the hardware is the
+limit.
+
+Rationale: a token passes through engines that cover every layer once and in
+order. The bound is therefore a maximum flow from the first layer to the last
+through engines, whose capacity is their rate with full batches, and over the
+links between availability zones.
+
+The rate of an engine is that for all layers it holds. Where ranges overlap, a
+request may use fewer layers of an engine, which is then slightly faster than
+counted. The bound is exact if ranges meet without overlap.
 """
 
 from __future__ import annotations
@@ -51,14 +53,15 @@
 
     Args:
         engines: Engines that hold the same version of the model.
-        layer_count: Layers of the model.
-        links: Links between availability zones; a pair without one is not
-            a limit.
+        layer_count: Number of layers of the model.
+        links: Links between availability zones; a pair without a link is
+            unlimited.
         activation_bytes: Bytes of one position between two stages; 0 if
             links are no limit.
 
     Returns:
-        Tokens a second, prompt tokens counted; 0.0 without a whole chain.
+        Tokens per second, including prompt tokens; 0.0 without a complete
+        chain.
     """
     held = list(engines)
     graph: networkx.DiGraph[object] = networkx.DiGraph()
@@ -79,7 +82,7 @@
 def _add_engine(
     graph: networkx.DiGraph[object], engine: FlowEngine, ends: set[int]
 ) -> None:
-    """Adds an engine, split in two by its capacity."""
+    """Adds an engine as two nodes joined by an edge with its capacity."""
     name = engine.description.name
     span = engine.layers
     rate = engine_rates.tokens_per_s(engine.description, span.count)
--- a/src/almondshift/policy/greedy_placement.py
+++ b/src/almondshift/policy/greedy_placement.py
@@ -1,8 +1,8 @@
-"""The named baseline of placement: fill whole chains in order of name.
+"""Baseline planner: fills complete chains with engines in order of name.
 
-Each engine gets as many layers as fit after those of the engine before it.
-It doesn't look at speeds or links, and an engine that joins early in the
-order shifts the ranges of those behind it.
+Each engine gets as many layers as fit, continuing after the engine before it.
+Speeds and links are ignored, and an engine that joins early in the order
+shifts the ranges of those behind it.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class GreedyPlanner(planners.Planner):
-    """Fills one chain after the other."""
+    """Fills one chain after another."""
 
     def plan(
         self,
@@ -31,32 +31,32 @@
         engines: Sequence[placement.PlacedEngine],
         plain_ready: Iterable[str],
     ) -> placement.Plan:
-        """Returns orders for engines that do not hold their range yet."""
+        """Returns orders for engines that don't hold their range yet."""
         usable = sorted(engines, key=lambda e: e.name)
         models = [fleet.models[name] for name in sorted(fleet.models)]
-        found = []
+        planned = []
         for index, model in enumerate(models):
-            found.extend(_fill(model, usable[index :: len(models)]))
-        return placement.Plan(tuple(found))
+            planned.extend(_fill(model, usable[index :: len(models)]))
+        return placement.Plan(tuple(planned))
 
 
 def _fill(
     model: fleets.Model, engines: Sequence[placement.PlacedEngine]
 ) -> list[placement.PlannedOrder]:
-    found = []
+    planned = []
     start = 0
     for engine in engines:
         end = min(start + engine.description.layer_capacity, model.layers)
         order = _order(model, layers.LayerRange(start, end))
         if not _holds(order, engine):
-            found.append(placement.PlannedOrder(engine.name, order))
+            planned.append(placement.PlannedOrder(engine.name, order))
         start = 0 if end == model.layers else end
-    return found
+    return planned
 
 
 def _order(model: fleets.Model, span: layers.LayerRange) -> orders.Order:
     return orders.Order(
-        fencing=placement.NO_FENCING,
+        fencing=placement.UNSET_FENCING,
         role=endpoints.EndpointRole.SERVING,
         model=model.name,
         version=model.version,
@@ -75,5 +75,5 @@
 
 
 def create_greedy_planner() -> GreedyPlanner:
-    """Builds the baseline."""
+    """Creates the baseline planner."""
     return GreedyPlanner()
--- a/src/almondshift/policy/placement.py
+++ b/src/almondshift/policy/placement.py
@@ -1,35 +1,37 @@
-"""Which engine should hold which layers.
+"""Placement of model layers on engines.
 
 Load pattern: a fleet of mismatched accelerators, none large enough for a
 model, that changes: engines join without warning and are lost, and operators
 change models and versions. Cutting a model into equal parts leaves large
-cards half empty and makes the slowest one the pace of all; planning anew at
-each change reloads weights everywhere from a store that is rate-limited.
-
-Grounds: a request may enter and leave an engine's range at any layer, so the
-maximum flow through a model is what its least covered layer gets (the sum of
-the rates of the engines that hold it). Each free engine in turn, largest
-first, takes the range that lifts the least covered layers most, comparing
-the whole sorted cover, so that a layer without any engine comes first. An
-engine with a useful range keeps it: only free engines are placed, and one
-engine at a time is moved, when that lifts the least covered layer by a fifth
-and takes no layer's last engine. Loads in flight are bounded by bytes, so
-that a change doesn't queue hundreds of loads at the store, which would make
-each of them, the first whole chain too, as late as the last.
-
-Two models share the engines by demand: the next free engine goes to the
-model whose cover is the least by its demand. Models whose services wait for
-others come after those.
-
-A new version is rolled in one replica at a time. Engines that the old
-version's chain can do without are drained, and load the new version once
-their sessions have ended; the rest follow when a whole chain of the new
-version is ready. Where no engine can be spared, those that can hold both
-versions load the new one beside the old; where there are none, the plan says
-so and leaves the old version serving.
-
-The plan is a function of its inputs: the same state gives the same plan, so
-a new holder of the control lease goes on where the last one stopped.
+accelerators half empty and limits throughput to the slowest one. Replanning
+everything at each change reloads weights everywhere from a store that is
+rate-limited.
+
+Rationale: a request may enter and leave an engine's range at any layer, so the
+maximum flow through a model equals the rate of its least covered layer (the
+sum of the rates of the engines that hold it). Each free engine in turn,
+largest first, gets the range that raises the least covered layers most. The
+entire sorted coverage is compared, so a layer without any engine has priority.
+An engine with a useful range keeps it: only free engines are placed, and one
+engine at a time is moved, if that raises the least covered layer by a fifth
+and leaves no layer without an engine. The bytes being loaded at once are
+bounded, so that a change doesn't queue hundreds of loads at the store. All of
+them, including the first complete chain, would otherwise finish as late as the
+last one.
+
+Two models share the engines by demand: the next free engine goes to the model
+with the least coverage relative to its demand. Models whose services depend on
+services that aren't ready yet come last.
+
+A new version is rolled out one replica at a time. Engines that the old
+version's chain can do without are drained, and load the new version once their
+sessions have ended. The others follow when a complete chain of the new version
+is ready. If no engine can be spared, engines that can hold both versions load
+the new one alongside the old one. If there are none, the plan reports it and
+leaves the old version in service.
+
+The plan is a pure function of its inputs: the same state gives the same plan,
+so a new holder of the control lease continues where the previous one stopped.
 """
 
 from __future__ import annotations
@@ -49,34 +51,34 @@
     from collections.abc import Iterable
     from collections.abc import Sequence
 
-MOVE_GAIN = 1.2
-LOADING_BYTES = 64_000_000
-_EMPTY = 1e-9
-NO_FENCING = 0
-"""Orders are planned without a fencing number; who sends them sets it."""
+MIN_MOVE_GAIN = 1.2
+MAX_LOADING_BYTES = 64_000_000
+_ZERO_RATE = 1e-9
+UNSET_FENCING = 0
+"""Planned orders carry no fencing number; the sender sets it."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlacedEngine:
-    """An engine as it is now; leaving ones are not given to ``plan``."""
+    """The present state of an engine; ``plan`` gets no leaving engines."""
 
     description: endpoints.EndpointDescription
     report: endpoints.LoadReport
 
     @property
     def name(self) -> str:
-        """Its name."""
+        """The engine's name."""
         return self.description.name
 
     @property
     def is_draining(self) -> bool:
-        """Whether it takes no new sessions."""
+        """Whether the engine accepts no new sessions."""
         return self.report.role is endpoints.EndpointRole.DRAINING
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlannedOrder:
-    """An order for an endpoint, with a fencing number still to be set."""
+    """An order for an endpoint, before its fencing number is set."""
 
     endpoint: str
     order: orders.Order
@@ -84,7 +86,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Plan:
-    """Orders to give now, and what can't be done, for operators to read."""
+    """Orders to send now, and notes for operators on what can't be done."""
 
     orders: tuple[PlannedOrder, ...]
     notes: tuple[str, ...] = ()
@@ -92,20 +94,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
 class _Workload:
-    """What engines are placed for: a model with an adapter."""
+    """A model with an adapter, for which engines are placed."""
 
     model: str
     adapter: str
 
 
 @dataclasses.dataclass(slots=True)
-class _State:
-    """A workload's engines and cover while a plan is made."""
+class _WorkloadState:
+    """Engines and layer coverage of a workload during planning."""
 
     workload: _Workload
     model: fleets.Model
     demand: float
-    cover: list[float]
+    coverage: list[float]
     holders: dict[str, layers.LayerRange] = dataclasses.field(
         default_factory=dict
     )
@@ -114,16 +116,16 @@
     )
 
     @property
-    def least(self) -> float:
-        return min(self.cover) / self.demand
+    def min_coverage(self) -> float:
+        return min(self.coverage) / self.demand
 
     def add(self, engine: PlacedEngine, span: layers.LayerRange) -> None:
         self.holders[engine.name] = span
-        _lift(self.cover, engine, span, 1.0)
+        _add_rate(self.coverage, engine, span, 1.0)
 
     def remove(self, engine: PlacedEngine) -> layers.LayerRange:
         span = self.holders.pop(engine.name)
-        _lift(self.cover, engine, span, -1.0)
+        _add_rate(self.coverage, engine, span, -1.0)
         return span
 
 
@@ -146,21 +148,21 @@
         self.loading = self._loading_now()
 
     def plan(self) -> Plan:
-        free = self._take_over()
+        free = self._assign_current()
         for state in self.states:
-            free += self._roll(state)
+            free += self._roll_out(state)
         self._place(free)
         if not self.orders:
-            self._move()
-        self._check()
+            self._rebalance()
+        self._note_uncovered_models()
         planned = tuple(
             PlannedOrder(name, order) for name, order in self.orders.items()
         )
         return Plan(planned, tuple(self.notes))
 
-    def _make_states(self, demand: dict[str, float]) -> list[_State]:
-        """Returns the workloads, those that others wait for first."""
-        states: dict[_Workload, _State] = {}
+    def _make_states(self, demand: dict[str, float]) -> list[_WorkloadState]:
+        """Returns the workloads, with the dependencies of others first."""
+        states: dict[_Workload, _WorkloadState] = {}
         for service in self._by_dependency():
             workload = _Workload(service.model, service.adapter)
             model = self.fleet.models[service.model]
@@ -168,8 +170,10 @@
             if workload in states:
                 states[workload].demand += wanted
             else:
-                cover = [0.0] * model.layers
-                states[workload] = _State(workload, model, wanted, cover)
+                coverage = [0.0] * model.layers
+                states[workload] = _WorkloadState(
+                    workload, model, wanted, coverage
+                )
         for state in states.values():
             state.demand = max(state.demand, 1e-6)
         return list(states.values())
@@ -180,14 +184,16 @@
             for s in self.fleet.services.values()
             if s.kind is fleets.ServiceKind.MODEL
         ]
-        return sorted(services, key=lambda s: (self._depth(s, 0), s.name))
+        return sorted(
+            services, key=lambda s: (self._unready_depth(s, 0), s.name)
+        )
 
-    def _depth(self, service: fleets.Service, above: int) -> int:
-        """Returns how many services deep its unready dependencies go."""
-        if above > len(self.fleet.services):
-            return above
+    def _unready_depth(self, service: fleets.Service, nesting: int) -> int:
+        """Returns the depth of a service's tree of unready dependencies."""
+        if nesting > len(self.fleet.services):
+            return nesting
         depths = [
-            1 + self._depth(self.fleet.services[name], above + 1)
+            1 + self._unready_depth(self.fleet.services[name], nesting + 1)
             for name in service.depends_on
             if name in self.fleet.services and not self._is_ready(name)
         ]
@@ -216,15 +222,15 @@
             if not held.ready and held.model in self.fleet.models
         )
 
-    def _take_over(self) -> list[PlacedEngine]:
-        """Counts engines that hold something useful; returns the others.
+    def _assign_current(self) -> list[PlacedEngine]:
+        """Assigns engines with useful layers to workloads; returns the rest.
 
-        One that is draining serves nothing new, so it covers nothing.
+        A draining engine serves no new requests, so it adds no coverage.
         """
         free = []
         for engine in self.engines.values():
-            held = self._useful(engine)
-            state = self._state(held) if held else None
+            held = self._best_holding(engine)
+            state = self._find_state(held) if held else None
             if held is None or state is None:
                 free.append(engine)
             elif engine.is_draining:
@@ -233,11 +239,11 @@
                 state.add(engine, held.layers)
         return free
 
-    def _useful(self, engine: PlacedEngine) -> endpoints.Holding | None:
-        """Returns the holding that counts: of the wanted version, if any."""
+    def _best_holding(self, engine: PlacedEngine) -> endpoints.Holding | None:
+        """Returns the most useful holding, preferably the wanted version."""
         best = None
         for held in engine.report.holdings:
-            state = self._state(held)
+            state = self._find_state(held)
             if state is None:
                 continue
             rank = (
@@ -249,7 +255,7 @@
                 best = (rank, held)
         return best[1] if best else None
 
-    def _state(self, held: endpoints.Holding) -> _State | None:
+    def _find_state(self, held: endpoints.Holding) -> _WorkloadState | None:
         for state in self.states:
             if (
                 state.workload == _Workload(held.model, held.adapter)
@@ -258,11 +264,11 @@
                 return state
         return None
 
-    def _roll(self, state: _State) -> list[PlacedEngine]:
-        """Moves a workload's engines on to the model's version.
+    def _roll_out(self, state: _WorkloadState) -> list[PlacedEngine]:
+        """Moves the engines of a workload to the model's configured version.
 
         Returns:
-            Engines that were drained and are free for anything.
+            Drained engines that are free for any workload.
         """
         spans = state.holders | state.draining
         old = [name for name in spans if self._is_old(name, state)]
@@ -272,97 +278,102 @@
         new = [name for name in state.holders if name not in old]
         ready = [spans[n] for n in new if self._held(n).ready]
         if topology.covers_all(ready, state.model.layers):
-            # Nothing new is sent to the old version now; an engine is
-            # reloaded once its last session has ended, so that requests
-            # that began on the old version end on it.
+            # No new requests go to the old version now. An engine is reloaded
+            # once its last session has ended, so that requests that began on
+            # the old version finish on it.
             empty = [name for name in old if not self._sessions(name)]
         else:
-            self._roll_first(state, old, new)
+            self._start_rollout(state, old, new)
         for name in empty:
             self._load(self.engines[name], state, spans[name])
         return []
 
-    def _is_old(self, name: str, state: _State) -> bool:
+    def _is_old(self, name: str, state: _WorkloadState) -> bool:
         return self._held(name).version != state.model.version
 
     def _sessions(self, name: str) -> int:
         return self.engines[name].report.sessions
 
-    def _roll_first(
-        self, state: _State, old: list[str], new: list[str]
+    def _start_rollout(
+        self, state: _WorkloadState, old: list[str], new: list[str]
     ) -> None:
-        """Frees engines for the first whole chain of a new version."""
+        """Frees engines for the first complete chain of a new version."""
         count = state.model.layers
         covered = [state.holders[name] for name in new]
         covered += state.draining.values()
         serving = [name for name in old if name in state.holders]
-        spared = self._spared(state, serving, covered)
-        serving = [name for name in serving if name not in spared]
-        covered += [state.holders[name] for name in spared]
-        both = self._holding_both(state, serving, covered)
-        covered += [state.holders[name] for name in both]
+        spare = self._spare_engines(state, serving, covered)
+        serving = [name for name in serving if name not in spare]
+        covered += [state.holders[name] for name in spare]
+        dual = self._engines_for_both(state, serving, covered)
+        covered += [state.holders[name] for name in dual]
         if not topology.covers_all(covered, count):
             self.notes.append(
                 f"model {state.model.name}: version {state.model.version} "
-                "can't be loaded beside the one that serves; add engines, "
+                "can't be loaded beside the version in service; add engines, "
                 "or engines that can hold both versions"
             )
             return
-        for name in spared:
+        for name in spare:
             self._drain(self.engines[name], state, state.holders[name])
-        for name in both:
+        for name in dual:
             self._load(self.engines[name], state, state.holders[name])
 
-    def _spared(
+    def _spare_engines(
         self,
-        state: _State,
+        state: _WorkloadState,
         serving: list[str],
         covered: list[layers.LayerRange],
     ) -> list[str]:
-        """Chooses engines that the old version's chain can do without."""
+        """Returns engines that the old version's chain can do without."""
         holders = collections.Counter(
-            layer for name in serving for layer in _each(state.holders[name])
+            layer
+            for name in serving
+            for layer in _layers_of(state.holders[name])
         )
-        missing = _missing(covered, state.model.layers)
-        spared = []
+        uncovered = _uncovered_layers(covered, state.model.layers)
+        spare = []
         for name in sorted(serving, key=lambda n: (self._sessions(n), n)):
-            span = set(_each(state.holders[name]))
+            span = set(_layers_of(state.holders[name]))
             last = any(holders[layer] == 1 for layer in span)
-            if last or not missing & span:
+            if last or not uncovered & span:
                 continue
-            spared.append(name)
+            spare.append(name)
             holders.subtract(span)
-            missing -= span
-        return spared
+            uncovered -= span
+        return spare
 
-    def _holding_both(
+    def _engines_for_both(
         self,
-        state: _State,
+        state: _WorkloadState,
         serving: list[str],
         covered: list[layers.LayerRange],
     ) -> list[str]:
         chosen = []
-        missing = _missing(covered, state.model.layers)
+        uncovered = _uncovered_layers(covered, state.model.layers)
         for name in serving:
             span = state.holders[name]
             capacity = self.engines[name].description.layer_capacity
-            if capacity >= 2 * span.count and missing & set(_each(span)):
+            if capacity >= 2 * span.count and uncovered & set(_layers_of(span)):
                 chosen.append(name)
-                missing -= set(_each(span))
+                uncovered -= set(_layers_of(span))
         return chosen
 
     def _held(self, name: str) -> endpoints.Holding:
-        held = self._useful(self.engines[name])
+        held = self._best_holding(self.engines[name])
         assert held is not None
         return held
 
     def _load(
-        self, engine: PlacedEngine, state: _State, span: layers.LayerRange
+        self,
+        engine: PlacedEngine,
+        state: _WorkloadState,
+        span: layers.LayerRange,
     ) -> bool:
-        """Orders a load, unless enough is being loaded.
+        """Orders a load, unless the bound on concurrent loads is reached.
 
-        With nothing in flight a load goes out however large it is, else
-        one larger than the bound would never be done.
+        A load of any size is ordered while nothing else is loading.
+        Otherwise a load larger than the bound would never be done.
         """
         size = state.model.layer_bytes * span.count
         if self.loading > 0 and self.loading + size > self.loading_bytes:
@@ -372,23 +383,26 @@
         return True
 
     def _drain(
-        self, engine: PlacedEngine, state: _State, span: layers.LayerRange
+        self,
+        engine: PlacedEngine,
+        state: _WorkloadState,
+        span: layers.LayerRange,
     ) -> None:
         self._order(engine, state, span, endpoints.EndpointRole.DRAINING)
 
     def _order(
         self,
         engine: PlacedEngine,
-        state: _State,
+        state: _WorkloadState,
         span: layers.LayerRange,
         role: endpoints.EndpointRole,
     ) -> None:
         version = state.model.version
-        held = self._useful(engine)
+        held = self._best_holding(engine)
         if role is endpoints.EndpointRole.DRAINING and held is not None:
             version = held.version
         self.orders[engine.name] = orders.Order(
-            NO_FENCING,
+            UNSET_FENCING,
             role,
             state.model.name,
             version,
@@ -398,7 +412,7 @@
 
     def _place(self, free: list[PlacedEngine]) -> None:
         for engine in free:
-            state = self._neediest(engine)
+            state = self._least_covered(engine)
             if state is None:
                 continue
             span = _best_span(state, engine)
@@ -406,44 +420,46 @@
                 return
             state.add(engine, span)
 
-    def _neediest(self, engine: PlacedEngine) -> _State | None:
-        """Returns the least covered workload, the first of equal ones."""
+    def _least_covered(self, engine: PlacedEngine) -> _WorkloadState | None:
+        """Returns the least covered workload, or the first of several."""
         if engine.description.layer_capacity < 1:
             return None
-        return min(self.states, key=lambda state: state.least, default=None)
+        return min(
+            self.states, key=lambda state: state.min_coverage, default=None
+        )
 
-    def _move(self) -> None:
-        """Moves one engine if that lifts the least covered model enough.
+    def _rebalance(self) -> None:
+        """Moves one engine if that raises the minimum coverage enough.
 
-        Of engines that are alike and hold the same, one is tried: the
-        others would give the same cover.
+        Only one of several identical engines with the same holding is tried,
+        because the others would result in the same coverage.
         """
         if self.loading > 0 or any(s.draining for s in self.states):
             return
-        state = min(self.states, key=lambda s: s.least, default=None)
+        state = min(self.states, key=lambda s: s.min_coverage, default=None)
         tried = set()
         for engine in self.engines.values():
-            held = self._useful(engine)
-            likeness = (_kind(engine.description), held)
-            if state is None or likeness in tried:
+            held = self._best_holding(engine)
+            signature = (_hardware_class(engine.description), held)
+            if state is None or signature in tried:
                 continue
-            tried.add(likeness)
+            tried.add(signature)
             if self._try_move(engine, state):
                 return
 
-    def _try_move(self, engine: PlacedEngine, state: _State) -> bool:
+    def _try_move(self, engine: PlacedEngine, state: _WorkloadState) -> bool:
         origin = next(
             (s for s in self.states if engine.name in s.holders), None
         )
         if origin is None or self._is_rolling(origin):
             return False
-        before = state.least
+        before = state.min_coverage
         span = origin.remove(engine)
-        kept = all(origin.cover[span.start : span.end])
+        still_covered = all(origin.coverage[span.start : span.end])
         target = _best_span(state, engine)
         state.add(engine, target)
-        gains = state.least > max(before * MOVE_GAIN, _EMPTY)
-        if kept and gains and origin.least > before:
+        improves = state.min_coverage > max(before * MIN_MOVE_GAIN, _ZERO_RATE)
+        if still_covered and improves and origin.min_coverage > before:
             if engine.report.sessions:
                 self._drain(engine, origin, span)
                 return True
@@ -452,15 +468,15 @@
         origin.add(engine, span)
         return False
 
-    def _is_rolling(self, state: _State) -> bool:
+    def _is_rolling(self, state: _WorkloadState) -> bool:
         return any(self._is_old(name, state) for name in state.holders)
 
-    def _check(self) -> None:
+    def _note_uncovered_models(self) -> None:
         for state in self.states:
-            if min(state.cover) <= _EMPTY:
+            if min(state.coverage) <= _ZERO_RATE:
                 self.notes.append(
-                    f"model {state.model.name}: no whole chain yet; "
-                    "engines for some layers are missing or still to load"
+                    f"model {state.model.name}: no complete chain yet; "
+                    "engines for some layers are missing or not loaded"
                 )
 
 
@@ -470,21 +486,21 @@
     *,
     demand: dict[str, float] | None = None,
     plain_ready: Iterable[str] = (),
-    loading_bytes: int = LOADING_BYTES,
+    loading_bytes: int = MAX_LOADING_BYTES,
 ) -> Plan:
-    """Returns what engines should be ordered to do now.
+    """Returns the orders to send to engines now.
 
     Args:
-        fleet: The configuration in force.
-        engines: Engines that live and are not leaving, with their reports.
-        demand: Tokens a second wanted by model; without it, the replicas
-            that services ask for.
+        fleet: Active configuration.
+        engines: Live engines that are not leaving, with their reports.
+        demand: Demand in tokens per second by model; defaults to the number
+            of replicas that the services request.
         plain_ready: Plain services that have endpoints.
-        loading_bytes: Bytes of weights that may be loading at once.
+        loading_bytes: Maximum bytes of weights that may be loading at once.
 
     Returns:
         Orders for engines that should change, and notes on what can't be
-        done. Engines that should stay as they are get no order.
+        done. Engines that should stay unchanged get no order.
     """
     planner = _Planner(fleet, engines, demand or {}, plain_ready, loading_bytes)
     return planner.plan()
@@ -495,7 +511,7 @@
     return (-described.layer_capacity, described.fixed_s, described.name)
 
 
-def _kind(
+def _hardware_class(
     description: endpoints.EndpointDescription,
 ) -> tuple[int, float, float, int]:
     return (
@@ -506,57 +522,63 @@
     )
 
 
-def _lift(
-    cover: list[float],
+def _add_rate(
+    coverage: list[float],
     engine: PlacedEngine,
     span: layers.LayerRange,
     sign: float,
 ) -> None:
     rate = engine_rates.tokens_per_s(engine.description, span.count)
-    for layer in _each(span):
-        cover[layer] = max(0.0, cover[layer] + sign * rate)
-        if cover[layer] < _EMPTY:
-            cover[layer] = 0.0
+    for layer in _layers_of(span):
+        coverage[layer] = max(0.0, coverage[layer] + sign * rate)
+        if coverage[layer] < _ZERO_RATE:
+            coverage[layer] = 0.0
 
 
-def _each(span: layers.LayerRange) -> range:
+def _layers_of(span: layers.LayerRange) -> range:
     return range(span.start, span.end)
 
 
-def _missing(covered: Iterable[layers.LayerRange], count: int) -> set[int]:
+def _uncovered_layers(
+    covered: Iterable[layers.LayerRange], count: int
+) -> set[int]:
     """Returns the layers that no range covers."""
-    missing = set(range(count))
+    uncovered = set(range(count))
     for span in covered:
-        missing -= set(_each(span))
-    return missing
+        uncovered -= set(_layers_of(span))
+    return uncovered
 
 
-def _best_span(state: _State, engine: PlacedEngine) -> layers.LayerRange:
-    """Returns the range that lifts the least covered layers most."""
+def _best_span(
+    state: _WorkloadState, engine: PlacedEngine
+) -> layers.LayerRange:
+    """Returns the range that raises the least covered layers most."""
     count = state.model.layers
     capacity = min(engine.description.layer_capacity, count)
     parts = -(-count // capacity)
     lengths = sorted({capacity, -(-count // parts)}, reverse=True)
     best: tuple[list[float], layers.LayerRange] | None = None
     for length in lengths:
-        for start in _starts(state, count, length):
+        for start in _candidate_starts(state, count, length):
             span = layers.LayerRange(start, start + length)
-            cover = list(state.cover)
-            _lift(cover, engine, span, 1.0)
-            cover.sort()
-            if best is None or cover > best[0]:
-                best = (cover, span)
+            coverage = list(state.coverage)
+            _add_rate(coverage, engine, span, 1.0)
+            coverage.sort()
+            if best is None or coverage > best[0]:
+                best = (coverage, span)
     assert best is not None
     return best[1]
 
 
-def _starts(state: _State, count: int, length: int) -> list[int]:
-    """Returns where a range may begin: where others begin or end."""
+def _candidate_starts(
+    state: _WorkloadState, count: int, length: int
+) -> list[int]:
+    """Returns candidate starts, aligned with the ends of other ranges."""
     last = count - length
     found = {0, last}
     found |= {min(last, cut) for cut in range(0, count, length)}
     for span in state.holders.values():
         found |= {span.start, span.end, span.start - length, span.end - length}
-    lowest = state.cover.index(min(state.cover))
+    lowest = state.coverage.index(min(state.coverage))
     found.add(lowest)
     return sorted(start for start in found if 0 <= start <= last)
--- a/src/almondshift/policy/planners.py
+++ b/src/almondshift/policy/planners.py
@@ -1,4 +1,4 @@
-"""The interface of placement, and the planner that nodes use."""
+"""Interface of placement planners, and the production planner."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Planner(abc.ABC):
-    """Decides which engine should hold what."""
+    """Decides which layers each engine should hold."""
 
     @abc.abstractmethod
     def plan(
@@ -24,17 +24,17 @@
         engines: Sequence[placement.PlacedEngine],
         plain_ready: Iterable[str],
     ) -> placement.Plan:
-        """Returns the orders to give now; none for what is as it should be.
+        """Returns the orders to send now; none for engines that need no change.
 
         Args:
-            fleet: The configuration in force.
-            engines: Engines that live and are not leaving.
+            fleet: Active configuration.
+            engines: Live engines that are not leaving.
             plain_ready: Plain services that have endpoints.
         """
 
 
 class FlowPlanner(Planner):
-    """Raises the flow through the least covered layers."""
+    """Increases the flow through the least covered layers."""
 
     def plan(
         self,
@@ -42,10 +42,10 @@
         engines: Sequence[placement.PlacedEngine],
         plain_ready: Iterable[str],
     ) -> placement.Plan:
-        """Returns what ``placement.plan`` decides."""
+        """Returns the plan of ``placement.plan``."""
         return placement.plan(fleet, engines, plain_ready=plain_ready)
 
 
 def create_flow_planner() -> FlowPlanner:
-    """Builds the planner that nodes use."""
+    """Creates the production planner."""
     return FlowPlanner()
--- a/tests/policy/test_flow.py
+++ b/tests/policy/test_flow.py
@@ -11,7 +11,7 @@
 def _engine(
     name: str, span: tuple[int, int], zone: str = "z1"
 ) -> flow.FlowEngine:
-    # With 4 layers: 10 / (0.06 + 0.001 * 4 * 10) = 100 tokens a second.
+    # With 4 layers: 10 / (0.06 + 0.001 * 4 * 10) = 100 tokens per second.
     description = endpoints.EndpointDescription(
         name, name, "gpu", 8, 0.06, 0.001, 10, 64
     )
--- a/tests/policy/test_placement.py
+++ b/tests/policy/test_placement.py
@@ -17,7 +17,7 @@
 
 
 class _Engines:
-    """Engines that do what they are ordered to do."""
+    """Simulated engines that execute their orders."""
 
     def __init__(self, capacities: list[int]) -> None:
         self.descriptions = {
@@ -53,7 +53,7 @@
             for name, description in self.descriptions.items()
         ]
 
-    def obey(self, plan: placement.Plan, *, ready: bool = True) -> None:
+    def apply(self, plan: placement.Plan, *, ready: bool = True) -> None:
         for planned in plan.orders:
             name, order = planned.endpoint, planned.order
             self.roles[name] = order.role
@@ -77,7 +77,7 @@
                 dataclasses.replace(h, ready=True) for h in held
             )
 
-    def whole(self, version: int, model: str = "m") -> bool:
+    def has_complete_chain(self, version: int, model: str = "m") -> bool:
         spans = [
             held.layers
             for name, holdings in self.holdings.items()
@@ -126,36 +126,37 @@
         ([8], 0.99),
         ([4, 4, 4, 4], 0.99),
         ([8, 4, 4], 0.9),
-        # Two of three hold three layers: 500 of 562.5 is the most.
+        # Two of three hold three layers: 500 of 562.5 is the maximum.
         ([3, 3, 3], 0.88),
         ([8, 6, 6, 4, 4, 3], 0.7),
         ([6, 6, 6, 3, 3, 3, 2, 2], 0.7),
     ],
 )
-def test_mixed_engines_reach_the_work_they_can_do(
+def test_mixed_engines_come_close_to_their_maximum_throughput(
     capacities: list[int], share: float
 ) -> None:
     engines = _Engines(capacities)
-    engines.obey(placement.plan(_fleet(), engines.placed()))
-    # No placement gives more than all engines' layers a second, each with
-    # as many layers as it holds, divided by the layers of the model.
+    engines.apply(placement.plan(_fleet(), engines.placed()))
+    # Upper bound of any placement: the layers that all engines process per
+    # second, with as many layers as they can hold, divided by the layers of
+    # the model.
     work = sum(
         engine_rates.tokens_per_s(d, min(d.layer_capacity, LAYERS))
         * min(d.layer_capacity, LAYERS)
         for d in engines.descriptions.values()
     )
-    assert engines.whole(1)
+    assert engines.has_complete_chain(1)
     assert engines.bound() >= share * work / LAYERS
 
 
 def test_a_settled_fleet_gets_no_orders() -> None:
     engines = _Engines([8, 4, 4, 3, 3, 2])
-    engines.obey(placement.plan(_fleet(), engines.placed()))
+    engines.apply(placement.plan(_fleet(), engines.placed()))
     settled = placement.plan(_fleet(), engines.placed())
     moved = 0
     while settled.orders and moved < 6:
         moved += len(settled.orders)
-        engines.obey(settled)
+        engines.apply(settled)
         settled = placement.plan(_fleet(), engines.placed())
     assert moved <= 1
     assert settled.orders == ()
@@ -165,14 +166,14 @@
     engines = _Engines([4, 4, 4, 4, 4])
     joined = engines.placed()[-1]
     first = engines.placed()[:-1]
-    engines.obey(placement.plan(_fleet(), first))
+    engines.apply(placement.plan(_fleet(), first))
     plan = placement.plan(_fleet(), engines.placed())
     assert [order.endpoint for order in plan.orders] == [joined.name]
 
 
-def test_a_lost_range_is_covered_again() -> None:
+def test_a_lost_layer_range_is_covered_again() -> None:
     engines = _Engines([4, 4, 4, 4, 4])
-    engines.obey(placement.plan(_fleet(), engines.placed()))
+    engines.apply(placement.plan(_fleet(), engines.placed()))
     spans = {n: h[0].layers for n, h in engines.holdings.items()}
     upper = [n for n, span in spans.items() if span.start == 4]
     placed = [e for e in engines.placed() if e.name not in upper]
@@ -184,7 +185,7 @@
 def test_two_models_share_engines() -> None:
     engines = _Engines([4] * 8)
     models = _fleet(models=("m", "k"))
-    engines.obey(placement.plan(models, engines.placed()))
+    engines.apply(placement.plan(models, engines.placed()))
     assert engines.bound("m") == pytest.approx(engines.bound("k"))
 
 
@@ -192,12 +193,12 @@
     engines = _Engines([4] * 8)
     plan = placement.plan(_fleet(), engines.placed(), loading_bytes=8)
     assert len(plan.orders) == 2
-    engines.obey(plan, ready=False)
+    engines.apply(plan, ready=False)
     again = placement.plan(_fleet(), engines.placed(), loading_bytes=8)
     assert again.orders == ()
 
 
-def test_services_that_wait_for_others_come_last() -> None:
+def test_services_with_unready_dependencies_come_last() -> None:
     engines = _Engines([8])
     models = _fleet(models=("a", "b"))
     waiting = dataclasses.replace(models.services["on-a"], depends_on=("on-b",))
@@ -209,37 +210,38 @@
 @pytest.mark.parametrize(
     "capacities", [[4, 4, 4, 4], [4, 4, 4, 4, 4, 4], [8, 8], [4, 4, 8], [16]]
 )
-def test_a_version_change_keeps_a_whole_chain_at_all_times(
+def test_a_version_change_always_keeps_a_complete_chain(
     capacities: list[int],
 ) -> None:
-    """A caller sees every request answered while a version is rolled.
+    """All requests can be served during the rollout of a version.
 
-    Engines drain, load and get ready one after another; at each point
-    either the old or the new version has a whole chain that takes new
-    requests, and in the end every engine holds the new one.
+    Engines drain, load and become ready one after another. At each point
+    either the old or the new version has a complete chain that accepts new
+    requests. In the end the new version has a complete chain and no orders
+    remain.
     """
     engines = _Engines(capacities)
-    engines.obey(placement.plan(_fleet(), engines.placed()))
+    engines.apply(placement.plan(_fleet(), engines.placed()))
     for _ in range(20):
         plan = placement.plan(_fleet(version=2), engines.placed())
-        engines.obey(plan, ready=False)
-        assert engines.whole(1) or engines.whole(2)
+        engines.apply(plan, ready=False)
+        assert engines.has_complete_chain(1) or engines.has_complete_chain(2)
         engines.finish_loading()
-        assert engines.whole(1) or engines.whole(2)
-    assert engines.whole(2)
+        assert engines.has_complete_chain(1) or engines.has_complete_chain(2)
+    assert engines.has_complete_chain(2)
     final = placement.plan(_fleet(version=2), engines.placed())
     assert final.orders == ()
 
 
 def test_an_engine_with_sessions_is_drained_before_it_is_reloaded() -> None:
     engines = _Engines([4, 4, 4, 4])
-    engines.obey(placement.plan(_fleet(), engines.placed()))
+    engines.apply(placement.plan(_fleet(), engines.placed()))
     engines.sessions = dict.fromkeys(engines.sessions, 3)
     for _ in range(3):
         plan = placement.plan(_fleet(version=2), engines.placed())
         roles = {planned.order.role for planned in plan.orders}
         assert roles <= {endpoints.EndpointRole.DRAINING}
-        engines.obey(plan)
+        engines.apply(plan)
     draining = [
         name
         for name, role in engines.roles.items()
@@ -248,9 +250,9 @@
     assert len(draining) == 2
 
 
-def test_a_change_that_needs_an_interruption_is_not_ordered() -> None:
+def test_a_version_change_that_needs_downtime_is_not_ordered() -> None:
     engines = _Engines([4, 4])
-    engines.obey(placement.plan(_fleet(), engines.placed()))
+    engines.apply(placement.plan(_fleet(), engines.placed()))
     plan = placement.plan(_fleet(version=2), engines.placed())
     assert plan.orders == ()
     assert "can't be loaded beside" in plan.notes[0]
