--- a/src/almondshift/policy/actions.py
+++ b/src/almondshift/policy/actions.py
@@ -1,4 +1,4 @@
-"""What the router decides."""
+"""Decisions that the router returns."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class RefusalReason(enum.StrEnum):
-    """Why a request is not served."""
+    """Reason why a request is not served."""
 
     OVERLOADED = "overloaded"
     ACCOUNT_LIMITED = "account_limited"
@@ -40,7 +40,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Replace:
-    """Replace a failed stage by these stages, and replay into them."""
+    """Replace a failed stage with these stages, and replay into them."""
 
     request_id: str
     index: int
@@ -49,10 +49,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refuse:
-    """Answer the caller now; never held back.
+    """Refuse the request now; a refusal is never delayed.
 
     Attributes:
-        retry_after_s: When to come back, jittered; None if pointless.
+        retry_after_s: Jittered Retry-After; None if a retry is pointless.
     """
 
     request_id: str
@@ -62,7 +62,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Probe:
-    """Try an ejected endpoint with a cheap call."""
+    """Probe an ejected endpoint with a cheap call."""
 
     endpoint: str
 
--- a/src/almondshift/policy/admission.py
+++ b/src/almondshift/policy/admission.py
@@ -1,20 +1,21 @@
-"""Early refusal of requests that could not be answered in time.
-
-Load pattern: sustained overload. If every request is let in, the queue
-grows until each one is answered after its deadline: the engines are busy
-and nobody gets an answer. Grounds: a request is let in if the wait that the
-fair queue and the drain rate predict, with the time of its own run, ends
-before its deadline; else it is refused on arrival, when its caller can still
-do something about it. It may use half of the slack between its run and its
-deadline for waiting, because both figures are estimates and an admitted
-request that misses its deadline has cost an engine its work for nothing.
-
-The cap by priority keeps the queue short where a person waits: two seconds
-of queue is more than the completions of one second vary by, so that the
-engines stay full, and members who wait longer give up. Drafts may wait for
-half of their slack, whatever it is. The time that was allowed for waiting
-is also when a request that still waits is refused, so none is kept until
-near its deadline.
+"""Admission control: refuses requests that can't be answered in time.
+
+Load pattern: sustained overload. If every request is admitted, the queue grows
+until all requests are answered after their deadline: the engines are busy, but
+callers get no useful answers.
+
+Rationale: a request is admitted if it is expected to finish before its
+deadline, given the wait predicted from the fair queue and the drain rate and
+its own run time. Otherwise it is refused on arrival, when its caller can still
+react. A request may spend half of the slack between its run time and its
+deadline on waiting, because both figures are estimates and an admitted request
+that misses its deadline has used an engine for nothing.
+
+The cap by priority keeps the queue short for interactive requests. Two seconds
+of queue is more than the variation of completions within a second, so the
+engines stay busy, and callers who wait longer give up. Drafts may wait for
+half of their slack, however long. A request that is still waiting when its
+allowed wait ends is refused, so none is kept until close to its deadline.
 """
 
 from __future__ import annotations
@@ -24,11 +25,11 @@
 from almondshift.model import fleet
 
 SLACK_SHARE = 0.5
-MARGIN = 0.75
-"""Part of the allowed wait that a prediction may reach. In the bench at four
-times the load, predictions were off by half a second; without a margin 40 in
-100 admitted requests were refused only after their whole wait."""
-WAIT_CAP_S = {
+PREDICTION_MARGIN = 0.75
+"""Share of the allowed wait that a prediction may reach. In the bench at four
+times the load, predictions were off by half a second; without a margin, 40 in
+100 admitted requests were refused only after their entire wait."""
+MAX_WAIT_S = {
     fleet.Priority.CRITICAL: 4.0,
     fleet.Priority.NORMAL: 2.0,
     fleet.Priority.BULK: math.inf,
@@ -38,26 +39,26 @@
 def allowed_wait_s(
     priority: fleet.Priority, remaining_s: float, run_s: float
 ) -> float:
-    """Returns how long a request may wait; negative if it can't be met.
+    """Returns the allowed wait; negative if the deadline can't be met.
 
     Args:
-        priority: Its priority.
+        priority: Priority of the request.
         remaining_s: Time until its deadline.
-        run_s: Time that it is expected to run.
+        run_s: Its expected run time.
     """
     slack = remaining_s - run_s
     if slack <= 0.0:
         return -1.0
-    return min(WAIT_CAP_S[priority], slack * SLACK_SHARE)
+    return min(MAX_WAIT_S[priority], slack * SLACK_SHARE)
 
 
 def may_wait(predicted_s: float, allowed_s: float) -> bool:
-    """Returns whether a request that would wait this long is let in."""
-    return allowed_s > 0.0 and predicted_s <= allowed_s * MARGIN
+    """Returns whether a request with this predicted wait is admitted."""
+    return allowed_s > 0.0 and predicted_s <= allowed_s * PREDICTION_MARGIN
 
 
-def predicted_wait_s(cost_ahead: float, drain: float) -> float:
-    """Returns the wait behind ``cost_ahead`` at ``drain`` cost a second."""
+def predicted_wait_s(cost_ahead: float, drain_rate: float) -> float:
+    """Returns the wait at a drain rate in cost per second."""
     if cost_ahead <= 0.0:
         return 0.0
-    return cost_ahead / drain if drain > 0.0 else math.inf
+    return cost_ahead / drain_rate if drain_rate > 0.0 else math.inf
--- a/src/almondshift/policy/burn.py
+++ b/src/almondshift/policy/burn.py
@@ -1,11 +1,12 @@
-"""Burn of service-level error budgets, from counts of many nodes.
-
-Load pattern: a fault that uses up the budget fast (minutes) or slowly
-(days). Without windows of two lengths, an alarm on the short one rings for
-a passing spike, and one on the long one rings hours late and long after the
-end. Figures: the windows and thresholds are those of the Google SRE
-Workbook, chapter 5, for a 30-day budget: 14.4 times the allowed rate over
-1 h and 5 min uses 2% of the budget in the hour; 1 over 3 d and 6 h uses 10%.
+"""Burn rates of service-level error budgets, merged over many nodes.
+
+Load pattern: a fault that consumes the budget fast (minutes) or slowly (days).
+An alarm on a short window alone fires for passing spikes; one on a long window
+alone fires hours late and stays on long after the fault has ended.
+
+The windows and thresholds are those of the Google SRE Workbook, chapter 5, for
+a 30-day budget: 14.4 times the allowed rate over 1 h and 5 min uses 2% of the
+budget in the hour; 1 times over 3 d and 6 h uses 10%.
 """
 
 from __future__ import annotations
@@ -21,11 +22,11 @@
 SLOW_THRESHOLD = 1.0
 
 LATENCY_SHARE = 0.95
-"""Latency objectives are stated for 95 in 100."""
+"""Latency objectives apply to 95% of requests."""
 
 
 class Objective(enum.StrEnum):
-    """What is promised."""
+    """Kind of service-level objective."""
 
     WHOLE = "whole"
     FIRST_TOKEN = "first_token"
@@ -33,7 +34,7 @@
 
 
 class Alarm(enum.StrEnum):
-    """Which alarm rings."""
+    """Active burn-rate alarm."""
 
     NONE = "none"
     FAST = "fast"
@@ -42,7 +43,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Count:
-    """Events of one service, account and objective with one cause.
+    """Number of events of one service, account, objective and cause.
 
     Attributes:
         cause: Why the objective was missed; empty if it was met.
@@ -57,7 +58,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Window:
-    """Counts of the last ``seconds``, of which ``covered_s`` are known."""
+    """Counts of the last ``seconds``, with data for ``covered_s`` of them."""
 
     seconds: float
     covered_s: float
@@ -66,7 +67,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Point:
-    """A bucket of the plot's series; ``age_s`` is its start's age."""
+    """A bucket of the plotted series; ``age_s`` is the age of its start."""
 
     age_s: float
     service: str
@@ -77,7 +78,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Target:
-    """The share of events that must be good."""
+    """The share of events that have to be good."""
 
     service: str
     objective: Objective
@@ -86,7 +87,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Snapshot:
-    """What one node counted."""
+    """Counts of one node."""
 
     windows: tuple[Window, ...]
     series: tuple[Point, ...]
@@ -96,12 +97,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Rate:
-    """Burn over one window.
+    """Burn rate over one window.
 
     Attributes:
-        burn: Share of bad events over the allowed share; 1 uses the budget
-            exactly up in its period. 0 without events.
-        covered_s: The longest time that any node knows of.
+        burn: Share of bad events divided by the allowed share; 1 uses up the
+            budget exactly within its period. 0 without events.
+        covered_s: The longest time for which any node has data.
     """
 
     window_s: float
@@ -113,7 +114,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Contribution:
-    """Who and what used the budget in the longest window.
+    """Budget use by an account and a cause in the longest window.
 
     Attributes:
         share: Share of the objective's bad events.
@@ -127,11 +128,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Burn:
-    """The burn of one service's objective.
+    """Burn rates of one service's objective.
 
     Attributes:
-        budget_left: 1 untouched, 0 used up, negative overspent; over the
-            longest window's events.
+        budget_left: Remaining share of the budget for the events of the
+            longest window: 1 untouched, 0 used up, negative if overspent.
     """
 
     service: str
@@ -145,7 +146,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SeriesPoint:
-    """The burn in one bucket of the plot, merged over nodes."""
+    """Burn rate in one bucket of the plot, merged over nodes."""
 
     age_s: float
     service: str
@@ -154,22 +155,22 @@
 
 
 def compute(snapshots: list[Snapshot]) -> list[Burn]:
-    """Merges nodes' counts and computes each objective's burn.
+    """Merges the counts of nodes and computes the burn of each objective.
 
-    Targets come from the snapshots; if nodes differ, as they do for seconds
-    after a change, the strictest stands.
+    Targets are taken from the snapshots. If nodes differ, as they do for
+    seconds after a change, the strictest target applies.
     """
     targets = merge_targets(snapshots)
     windows = {w: _merge_window(snapshots, w) for w in WINDOWS_S}
-    covered = {w: _covered(snapshots, w) for w in WINDOWS_S}
+    covered_by_window = {w: _covered_s(snapshots, w) for w in WINDOWS_S}
     return [
-        _burn(service, objective, share, windows, covered)
+        _burn(service, objective, share, windows, covered_by_window)
         for (service, objective), share in sorted(targets.items())
     ]
 
 
 def compute_series(snapshots: list[Snapshot]) -> list[SeriesPoint]:
-    """Returns the burn in each bucket of the plot, oldest first."""
+    """Returns the burn rate in each bucket of the plot, oldest first."""
     targets = merge_targets(snapshots)
     totals: dict[tuple[float, str, Objective], list[int]] = {}
     for snapshot in snapshots:
@@ -192,7 +193,7 @@
 def merge_targets(
     snapshots: list[Snapshot],
 ) -> dict[tuple[str, Objective], float]:
-    """Returns the strictest share by service and objective."""
+    """Returns the strictest target share by service and objective."""
     targets: dict[tuple[str, Objective], float] = {}
     for snapshot in snapshots:
         for target in snapshot.targets:
@@ -202,7 +203,7 @@
 
 
 def burn_rate(good: int, bad: int, target: float) -> float:
-    """Returns the share of bad events over the allowed share."""
+    """Returns the share of bad events divided by the allowed share."""
     total = good + bad
     allowed = 1.0 - target
     if not total or allowed <= 0:
@@ -224,14 +225,14 @@
     return merged
 
 
-def _covered(snapshots: list[Snapshot], seconds: float) -> float:
-    known = [
+def _covered_s(snapshots: list[Snapshot], seconds: float) -> float:
+    durations = [
         window.covered_s
         for snapshot in snapshots
         for window in snapshot.windows
         if window.seconds == seconds
     ]
-    return max(known, default=0.0)
+    return max(durations, default=0.0)
 
 
 def _burn(
@@ -239,13 +240,13 @@
     objective: Objective,
     target: float,
     windows: dict[float, collections.Counter[tuple[str, Objective, str, str]]],
-    covered: dict[float, float],
+    covered_by_window: dict[float, float],
 ) -> Burn:
     rates = []
     for seconds, counts in windows.items():
         good, bad = _totals(counts, service, objective)
         rate = burn_rate(good, bad, target)
-        rates.append(Rate(seconds, covered[seconds], good, bad, rate))
+        rates.append(Rate(seconds, covered_by_window[seconds], good, bad, rate))
     longest = windows[WINDOWS_S[-1]]
     return Burn(
         service=service,
--- a/src/almondshift/policy/entries.py
+++ b/src/almondshift/policy/entries.py
@@ -1,23 +1,23 @@
-"""Answers to callers who ask which node addresses to use.
-
-Load pattern: no balancer stands in front; callers keep an answer for a while
-and connect themselves. If every caller got the same list, the first address
-would take all load; if every account were spread over all nodes, one hot
-account would fill them all.
-
-Grounds: shuffle sharding. Rendezvous hashing gives each account its own few
-nodes, so with 8 nodes and shards of 4 two accounts share all of their nodes
-in one pair of 70, and a node that joins or leaves moves only the accounts it
-serves. The shard takes turns over availability zones, so that a lost zone
-leaves addresses that work, and grows with the account's weight so that a
-large account isn't held to four nodes. Within the shard each answer is
-shuffled, which spreads an account's callers evenly.
-
-Leaving and stale nodes are left out while others remain, overloaded ones go
-last. Answers hold for five seconds, so that a node that stops has been left
-alone by its callers well before its grace time ends; two when something is
-leaving or overloaded. The jitter of a fifth keeps callers from asking
-together.
+"""Selection of the node addresses that callers connect to.
+
+Load pattern: there is no load balancer in front; callers cache an answer for a
+while and connect themselves. If every caller got the same list, the first
+address would take all load. If every account were spread over all nodes, one
+hot account would fill them all.
+
+Rationale: shuffle sharding. Rendezvous hashing assigns a few nodes to each
+account. With 8 nodes and shards of 4, only one pair of accounts in 70 shares
+all its nodes, and a node that joins or leaves affects only the accounts it
+serves. The shard alternates between availability zones, so that working
+addresses remain when a zone is lost, and grows with the account's weight, so
+that a large account isn't limited to four nodes. Each answer is shuffled
+within the shard, which spreads an account's callers evenly.
+
+Leaving and stale nodes are omitted while others remain; overloaded ones come
+last. Answers are valid for five seconds, so that callers have stopped using a
+stopping node well before its grace period ends, and for two seconds while a
+node is leaving or overloaded. A jitter of a fifth keeps callers from asking at
+the same time.
 """
 
 from __future__ import annotations
@@ -35,10 +35,10 @@
 MIN_SHARD = 4
 SHARD_HEADROOM = 2.0
 STALE_S = 5.0
-OVERLOADED = 0.9
+OVERLOADED_LOAD = 0.9
 HOLD_S = 5.0
-UNSTEADY_HOLD_S = 2.0
-JITTER = 0.2
+SHORT_HOLD_S = 2.0
+HOLD_JITTER = 0.2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -46,9 +46,9 @@
     """A node as the answering node knows it.
 
     Attributes:
-        address: ``host:port`` where callers connect.
+        address: ``host:port`` that callers connect to.
         age_s: Seconds since it was last heard from.
-        load: Its own word on how full it is, 1.0 when it refuses.
+        load: Its self-reported utilisation; 1.0 if it refuses requests.
     """
 
     name: str
@@ -61,7 +61,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Entries:
-    """Addresses in the order to try them, and how long they hold."""
+    """Addresses in the order to try them, and how long they are valid."""
 
     addresses: tuple[str, ...]
     hold_seconds: float
@@ -76,23 +76,25 @@
     """Returns the addresses for one account's caller.
 
     Args:
-        nodes: All nodes known, the answering one among them.
-        account: Name of the client account, ``""`` if unknown.
-        account_share: Its weight by the sum of all weights.
+        nodes: All known nodes, including the answering one.
+        account: Name of the client account, or ``""`` if unknown.
+        account_share: Its weight divided by the sum of all weights.
         rng: Source of random choices.
     """
-    known = list(nodes)
-    fresh = [n for n in known if not n.leaving and n.age_s <= STALE_S]
-    stale = [n for n in known if not n.leaving and n.age_s > STALE_S]
-    usable = fresh or stale or known
+    all_nodes = list(nodes)
+    fresh = [n for n in all_nodes if not n.leaving and n.age_s <= STALE_S]
+    stale = [n for n in all_nodes if not n.leaving and n.age_s > STALE_S]
+    usable = fresh or stale or all_nodes
     size = _shard_size(len(usable), account_share)
-    shard = _over_zones(sorted(usable, key=lambda n: _rank(account, n)), size)
+    shard = _pick_across_zones(
+        sorted(usable, key=lambda n: _rank(account, n)), size
+    )
     ordered = _ordered(shard, rng)
-    unsteady = any(n.leaving or n.load >= OVERLOADED for n in known)
-    hold = UNSTEADY_HOLD_S if unsteady else HOLD_S
+    unstable = any(n.leaving or n.load >= OVERLOADED_LOAD for n in all_nodes)
+    hold = SHORT_HOLD_S if unstable else HOLD_S
     return Entries(
         tuple(node.address for node in ordered),
-        hold * rng.uniform(1.0 - JITTER, 1.0 + JITTER),
+        hold * rng.uniform(1.0 - HOLD_JITTER, 1.0 + HOLD_JITTER),
     )
 
 
@@ -105,30 +107,34 @@
     return int(xxhash.xxh64_intdigest(f"{account}\0{node.name}".encode()))
 
 
-def _over_zones(ranked: list[EntryNode], size: int) -> list[EntryNode]:
-    """Takes the best of each zone in turn until ``size`` are taken."""
-    lines: dict[str, list[EntryNode]] = {}
+def _pick_across_zones(ranked: list[EntryNode], size: int) -> list[EntryNode]:
+    """Takes the best nodes of the zones in rotation, up to ``size``."""
+    by_zone: dict[str, list[EntryNode]] = {}
     for node in ranked:
-        lines.setdefault(node.zone, []).append(node)
+        by_zone.setdefault(node.zone, []).append(node)
     taken: list[EntryNode] = []
-    depth = 0
+    round_index = 0
     while len(taken) < size:
-        layer = [line[depth] for line in lines.values() if depth < len(line)]
-        taken += layer[: size - len(taken)]
-        depth += 1
+        round_nodes = [
+            zone_nodes[round_index]
+            for zone_nodes in by_zone.values()
+            if round_index < len(zone_nodes)
+        ]
+        taken += round_nodes[: size - len(taken)]
+        round_index += 1
     return taken
 
 
 def _ordered(shard: list[EntryNode], rng: random.Random) -> list[EntryNode]:
-    """Shuffles, puts overloaded ones last and neighbours in other zones."""
+    """Shuffles nodes, alternates their zones and puts overloaded ones last."""
     shuffled = rng.sample(shard, len(shard))
-    ready = [node for node in shuffled if node.load < OVERLOADED]
-    full = [node for node in shuffled if node.load >= OVERLOADED]
-    return _alternating(ready) + _alternating(full)
+    ready = [node for node in shuffled if node.load < OVERLOADED_LOAD]
+    full = [node for node in shuffled if node.load >= OVERLOADED_LOAD]
+    return _interleave_zones(ready) + _interleave_zones(full)
 
 
-def _alternating(nodes: list[EntryNode]) -> list[EntryNode]:
-    """Puts the first of each zone before the second of any."""
+def _interleave_zones(nodes: list[EntryNode]) -> list[EntryNode]:
+    """Puts the first node of each zone before the second node of any."""
     seen: dict[str, int] = {}
     turns: list[tuple[int, int, EntryNode]] = []
     for node in nodes:
--- a/src/almondshift/policy/events.py
+++ b/src/almondshift/policy/events.py
@@ -1,4 +1,4 @@
-"""What the router is told. All times are monotonic seconds."""
+"""Events that the router handles. All times are monotonic seconds."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class FailureReason(enum.StrEnum):
-    """Why an endpoint did not give a stage's answer."""
+    """Reason why an endpoint did not answer for a stage."""
 
     UNREACHABLE = "unreachable"
     REFUSED = "refused"
@@ -24,13 +24,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request came in.
+    """A request arrived.
 
     Attributes:
         prompt_tokens: Length of the prompt.
-        max_tokens: Tokens asked for; 0 for a plain service.
+        max_tokens: Maximum tokens requested; 0 for a plain service.
         prefixes: Digests of the prompt's prefixes, longest first.
-        deadline: When the caller stops waiting.
+        deadline: Time at which the caller stops waiting.
     """
 
     at: float
@@ -47,7 +47,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Progress:
-    """Tokens came out for a request; ``tokens`` is the number new."""
+    """New tokens were generated for a request; ``tokens`` counts them."""
 
     at: float
     request_id: str
@@ -56,7 +56,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Completed:
-    """A request ended whole."""
+    """A request ended successfully."""
 
     at: float
     request_id: str
@@ -64,7 +64,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Abandoned:
-    """A request ended otherwise: caller gone, deadline, or given up."""
+    """A request ended early: caller gone, deadline passed, or given up."""
 
     at: float
     request_id: str
@@ -77,7 +77,7 @@
     Attributes:
         index: Index of the stage in the chain in use.
         chain: The chain in use.
-        positions: Positions that a replacement would have to replay.
+        positions: Number of positions that a replacement must replay.
     """
 
     at: float
@@ -119,7 +119,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndpointLeaving:
-    """An endpoint is leaving: no new work for it."""
+    """An endpoint is leaving and must get no new work."""
 
     at: float
     endpoint: str
@@ -127,7 +127,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadReported:
-    """A load report arrived, own or through a peer."""
+    """A load report arrived, directly or through a peer."""
 
     at: float
     report: endpoints.LoadReport
@@ -144,11 +144,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerLoad:
-    """What a peer node has in flight and has used.
+    """Requests in flight on a peer node, and its recent usage.
 
     Attributes:
-        in_flight: Items in flight by endpoint.
-        account_tokens_per_s: Recent use by account.
+        in_flight: Requests in flight by endpoint.
+        account_tokens_per_s: Recent usage by account.
     """
 
     at: float
@@ -167,7 +167,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FleetChanged:
-    """A newer configuration is in force."""
+    """A newer configuration is active."""
 
     at: float
     fleet: fleet.Fleet
@@ -175,7 +175,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ProbeAnswered:
-    """An ejected endpoint answered a probe, or failed to."""
+    """An ejected endpoint answered a probe or failed to answer it."""
 
     at: float
     endpoint: str
@@ -185,7 +185,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Tick:
-    """Time passed; sent about every 20 ms while requests wait."""
+    """Time has passed; sent about every 20 ms while requests wait."""
 
     at: float
 
--- a/src/almondshift/policy/routers.py
+++ b/src/almondshift/policy/routers.py
@@ -1,4 +1,4 @@
-"""The interface between a node and its decisions under load."""
+"""Interface between a node and its load decisions."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 
 class Router(abc.ABC):
-    """A state machine without input or output.
+    """A state machine that performs no I/O.
 
-    It is told events with their time and returns actions. A request that
-    arrived and got no action is waiting; a later event decides it.
+    It handles timestamped events and returns actions. A request that arrived
+    without a resulting action is waiting; a later event decides it.
     """
 
     @abc.abstractmethod
     def handle(self, event: events.Event) -> list[actions.Action]:
-        """Takes one event; times never go back.
+        """Handles one event; times must not decrease.
 
         Returns:
-            What to do now, for this and other waiting requests.
+            Actions to take now, for this and other waiting requests.
         """
 
     @abc.abstractmethod
     def service_ready(self, service: str) -> bool:
-        """Returns whether a service and all it depends on can be served."""
+        """Returns whether a service and all its dependencies can be served."""
--- a/src/almondshift/policy/shares.py
+++ b/src/almondshift/policy/shares.py
@@ -1,43 +1,46 @@
-"""A node's share of a limit that holds over all nodes.
-
-Load pattern: several nodes use one limit (an engine's sessions, an
-account's tokens a second) and each sees the others late. If each took all
-that looks free, a burst would overshoot by the number of nodes; if each
-kept to an equal part, a node that gets all of the traffic would leave most
-of the limit unused. Grounds: what looks free is divided by the number of
-sharers, so that one round of reports can't overshoot; past the limit each
-node shrinks in proportion, so that the sum is the limit again after one
-round of reports; an equal part is always kept, so that a newcomer isn't
-shut out by nodes that came first. When a limit is nearly used up, parts move
-a quarter of the way towards equal ones with each report; otherwise the parts
-that chance gave at the start of an overload would stay for as long as it
-lasts, and with them what each node's callers get.
+"""A node's share of a limit that applies across all nodes.
+
+Load pattern: several nodes share one limit (an engine's sessions, an account's
+tokens per second), and each sees the usage of the others with a delay. If each
+took all apparently free capacity, a burst would overshoot by the number of
+nodes. If each were confined to an equal share, a node that gets all of the
+traffic would leave most of the limit unused.
+
+Rationale: apparently free capacity is divided by the number of nodes that use
+the limit, so that one round of reports can't overshoot. Above the limit, each
+node shrinks in proportion, so that the sum is back at the limit after one
+round of reports. An equal share is always granted, so that earlier nodes can't
+shut out a new one.
+
+While a limit is nearly used up, shares move a quarter of the way towards equal
+ones with each report. Otherwise the random shares at the start of an overload,
+and the service that each node's callers get, would persist until its end.
 """
 
 from __future__ import annotations
 
-NEARLY = 0.9
-STEP = 0.25
+NEARLY_FULL = 0.9
+EQUALISING_STEP = 0.25
 
 
 def next_share(
-    limit: float, own: float, total: float, sharers: int, known: int
+    limit: float, own: float, total: float, sharers: int, known_nodes: int
 ) -> float:
     """Returns how much of a limit this node may use until the next report.
 
     Args:
-        limit: The limit over all nodes.
-        own: What this node used when ``total`` was true.
-        total: What all nodes together used.
-        sharers: Nodes that use the limit now, this one counted.
-        known: All nodes that might use it, this one counted.
+        limit: The limit across all nodes.
+        own: Usage of this node at the time of ``total``.
+        total: Usage of all nodes together.
+        sharers: Number of nodes that use the limit now, including this one.
+        known_nodes: Number of nodes that might use it, including this one.
     """
-    equal = limit / max(1, known)
+    equal_share = limit / max(1, known_nodes)
     active = max(1, sharers)
     if total <= limit:
         share = own + (limit - total) / active
     else:
         share = own * limit / total
-    if total >= limit * NEARLY:
-        share += STEP * (limit / active - share)
-    return max(equal, share)
+    if total >= limit * NEARLY_FULL:
+        share += EQUALISING_STEP * (limit / active - share)
+    return max(equal_share, share)
--- a/tests/policy/test_burn.py
+++ b/tests/policy/test_burn.py
@@ -47,7 +47,7 @@
         (_all(999, 1), burn.Alarm.NONE),
         (_all(80, 20), burn.Alarm.FAST),
         (_all(98, 2), burn.Alarm.SLOW),
-        # A spike that has passed, and one that has only begun.
+        # A spike that has passed, and one that has only just begun.
         (_all(999, 1) | {3600.0: (80, 20)}, burn.Alarm.NONE),
         (_all(999, 1) | {300.0: (80, 20)}, burn.Alarm.NONE),
         (_all(0, 0), burn.Alarm.NONE),
@@ -61,7 +61,7 @@
 
 
 def test_nodes_are_merged_by_events_not_by_rates() -> None:
-    """A small node where all fails must not outweigh a large healthy one."""
+    """A small node with only failures must not outweigh a healthy one."""
     large = _snapshot(_all(990, 0), target=0.9)
     small = _snapshot(_all(0, 10))
     (result,) = burn.compute([large, small])
--- a/tests/policy/test_entries.py
+++ b/tests/policy/test_entries.py
@@ -42,7 +42,9 @@
         ({"load": 1.0}, "last"),
     ],
 )
-def test_nodes_not_to_be_used(bad: dict[str, float], place: str) -> None:
+def test_unusable_nodes_are_omitted_or_last(
+    bad: dict[str, float], place: str
+) -> None:
     nodes = [_node(0, **bad), *(_node(i) for i in range(1, 4))]  # type: ignore[arg-type]
     addresses = _entries(nodes).addresses
     if place == "out":
@@ -52,18 +54,18 @@
     assert len(addresses) >= 3
 
 
-def test_something_is_answered_when_all_leave() -> None:
+def test_leaving_nodes_are_returned_if_there_are_no_others() -> None:
     nodes = [_node(i, leaving=True) for i in range(3)]
     assert len(_entries(nodes).addresses) == 3
 
 
-def test_answers_hold_less_long_while_a_node_leaves() -> None:
+def test_answers_are_valid_for_less_time_while_a_node_leaves() -> None:
     steady = [_node(i) for i in range(6)]
     leaving = [*steady, _node(6, leaving=True)]
     assert _entries(leaving).hold_seconds < _entries(steady).hold_seconds
 
 
-def test_accounts_seldom_share_all_their_nodes() -> None:
+def test_accounts_rarely_share_all_their_nodes() -> None:
     nodes = [_node(i) for i in range(24)]
     shards = {frozenset(_entries(nodes, f"a{i}").addresses) for i in range(100)}
     assert len(shards) > 80
--- a/tests/policy/test_shares.py
+++ b/tests/policy/test_shares.py
@@ -7,28 +7,31 @@
 
 @pytest.mark.parametrize("nodes", [1, 2, 8, 50])
 @pytest.mark.parametrize("start", [0.0, 1.0, 30.0])
-def test_parts_sum_up_to_the_limit_after_some_reports(
+def test_node_shares_add_up_to_the_limit_after_some_reports(
     nodes: int, start: float
 ) -> None:
     limit = 100.0
-    parts = [start] * nodes
+    node_shares = [start] * nodes
     for _ in range(12):
-        total = sum(parts)
-        parts = [
-            shares.next_share(limit, own, total, nodes, nodes) for own in parts
+        total = sum(node_shares)
+        node_shares = [
+            shares.next_share(limit, own, total, nodes, nodes)
+            for own in node_shares
         ]
-    assert sum(parts) == pytest.approx(limit, rel=0.1)
+    assert sum(node_shares) == pytest.approx(limit, rel=0.1)
 
 
-def test_unequal_parts_become_equal_when_all_is_used() -> None:
-    parts = [80.0, 10.0, 10.0]
+def test_unequal_shares_become_equal_at_the_limit() -> None:
+    node_shares = [80.0, 10.0, 10.0]
     for _ in range(20):
-        total = sum(parts)
-        parts = [shares.next_share(100.0, own, total, 3, 3) for own in parts]
-    assert max(parts) < 1.1 * min(parts)
+        total = sum(node_shares)
+        node_shares = [
+            shares.next_share(100.0, own, total, 3, 3) for own in node_shares
+        ]
+    assert max(node_shares) < 1.1 * min(node_shares)
 
 
-def test_one_busy_node_gets_nearly_all() -> None:
+def test_one_busy_node_gets_nearly_the_entire_limit() -> None:
     busy = 0.0
     for _ in range(20):
         busy = shares.next_share(100.0, busy, busy, 1, 8)
