--- a/src/almondshift/policy/baseline.py
+++ b/src/almondshift/policy/baseline.py
@@ -1,10 +1,11 @@
-"""The named baseline: first come, first served over whole chains.
+"""Baseline router: FIFO, with round robin over complete chains.
 
-Load pattern: none in particular; this is what the other modules are
-measured against. Chains are taken in turn without regard to load, requests
-are sent at once, nothing is limited and nothing is budgeted. Grounds: it is
-what a plain round-robin balancer does, so a module that is not better than
-this one in the load that it answers has no place in the router.
+Load pattern: none in particular; the other modules are measured against this
+router. It rotates over chains regardless of load, dispatches requests at once,
+and has no limits and no budgets.
+
+Rationale: this is what a plain round-robin balancer does. A module that is not
+better than this under the load that it addresses has no place in the router.
 """
 
 from __future__ import annotations
@@ -25,64 +26,64 @@
     import random
 
 NOT_READY_RETRY_S = 1.0
-"""Seconds after which to ask again; engines load layers in seconds."""
+"""Mean Retry-After while layers are loading, which takes seconds."""
 
 
 @dataclasses.dataclass(slots=True)
-class _Turn:
-    """Takes names in turn."""
+class _RoundRobin:
+    """Selects names in rotation."""
 
     next: int = 0
 
-    def take(self, names: list[str]) -> str:
+    def next_name(self, names: list[str]) -> str:
         name = names[self.next % len(names)]
         self.next += 1
         return name
 
 
 class BaselineRouter(routers.Router):
-    """Round robin over whole chains, with no limit of any kind."""
+    """Round robin over complete chains, with no limit of any kind."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
         self.topology = topology.create_topology()
-        self._turns: dict[tuple[object, ...], _Turn] = {}
+        self._round_robins: dict[tuple[object, ...], _RoundRobin] = {}
         self._handlers: dict[
             type, Callable[..., list[actions.Action] | None]
         ] = {
             events.Arrival: self._arrive,
             events.StageFailed: self._replace,
-            events.EndpointSeen: self._see,
-            events.EndpointGone: self._forget,
-            events.EndpointLeaving: self._leave,
-            events.LoadReported: self._report,
-            events.FleetChanged: self._configure,
+            events.EndpointSeen: self._endpoint_seen,
+            events.EndpointGone: self._endpoint_gone,
+            events.EndpointLeaving: self._endpoint_leaving,
+            events.LoadReported: self._load_reported,
+            events.FleetChanged: self._fleet_changed,
         }
 
     def handle(self, event: events.Event) -> list[actions.Action]:
-        """Takes one event; see the base class."""
+        """Handles one event; see the base class."""
         handler = self._handlers.get(type(event))
         if handler is None:
             return []
         return handler(event) or []
 
     def service_ready(self, service: str) -> bool:
-        """Returns whether a service and all it depends on can be served."""
+        """Returns whether a service and all its dependencies can be served."""
         return self.topology.service_ready(service)
 
-    def _see(self, event: events.EndpointSeen) -> None:
-        self.topology.see(event.vm, event.description)
+    def _endpoint_seen(self, event: events.EndpointSeen) -> None:
+        self.topology.update_vm(event.vm, event.description)
 
-    def _forget(self, event: events.EndpointGone) -> None:
+    def _endpoint_gone(self, event: events.EndpointGone) -> None:
         self.topology.remove(event.endpoint)
 
-    def _leave(self, event: events.EndpointLeaving) -> None:
-        self.topology.leave(event.endpoint)
+    def _endpoint_leaving(self, event: events.EndpointLeaving) -> None:
+        self.topology.mark_leaving(event.endpoint)
 
-    def _report(self, event: events.LoadReported) -> None:
+    def _load_reported(self, event: events.LoadReported) -> None:
         self.topology.report(event.report, event.at)
 
-    def _configure(self, event: events.FleetChanged) -> None:
+    def _fleet_changed(self, event: events.FleetChanged) -> None:
         self.topology.configure(event.fleet)
 
     def _arrive(self, event: events.Arrival) -> list[actions.Action]:
@@ -116,8 +117,10 @@
         self, event: events.Arrival, service: fleets.Service
     ) -> actions.Action:
         names = list(self.topology.plain[service.name])
-        turn = self._turn(("plain", service.name))
-        return actions.DispatchPlain(event.request_id, turn.take(names))
+        rotation = self._round_robin(("plain", service.name))
+        return actions.DispatchPlain(
+            event.request_id, rotation.next_name(names)
+        )
 
     def _dispatch(
         self, event: events.Arrival, service: fleets.Service
@@ -125,8 +128,10 @@
         target = self.topology.target_of(service)
         if target is None:
             return self._not_ready(event.request_id)
-        whole = layers.LayerRange(0, self.topology.layer_count(target.model))
-        stages = self._stages(target, whole, avoid="")
+        all_layers = layers.LayerRange(
+            0, self.topology.layer_count(target.model)
+        )
+        stages = self._stages(target, all_layers, avoid="")
         if not stages:
             return self._not_ready(event.request_id)
         chain = chains.Chain(
@@ -154,24 +159,24 @@
         needed: layers.LayerRange,
         avoid: str,
     ) -> tuple[chains.Stage, ...]:
-        """Covers ``needed`` greedily; empty if that can't be done."""
+        """Covers ``needed`` greedily; empty if that is impossible."""
         stages: list[chains.Stage] = []
         position = needed.start
         while position < needed.end:
-            end, names = self._reaching(target, position, avoid)
+            end, names = self._farthest(target, position, avoid)
             if not names:
                 return ()
             end = min(end, needed.end)
-            name = self._turn((target, position, end)).take(names)
+            name = self._round_robin((target, position, end)).next_name(names)
             span = layers.LayerRange(position, end)
             stages.append(chains.Stage(name, span))
             position = end
         return tuple(stages)
 
-    def _reaching(
+    def _farthest(
         self, target: topology.Target, position: int, avoid: str
     ) -> tuple[int, list[str]]:
-        """Returns the farthest end from a layer, and who reaches it."""
+        """Returns the farthest end of a range at a layer, and its holders."""
         farthest, names = position, list[str]()
         for span, holders in self.topology.ranges.get(target, {}).items():
             if not span.start <= position < span.end:
@@ -183,8 +188,8 @@
             farthest = span.end
         return farthest, names
 
-    def _turn(self, key: tuple[object, ...]) -> _Turn:
-        return self._turns.setdefault(key, _Turn())
+    def _round_robin(self, key: tuple[object, ...]) -> _RoundRobin:
+        return self._round_robins.setdefault(key, _RoundRobin())
 
 
 def create_baseline_router(rng: random.Random) -> routers.Router:
--- a/src/almondshift/policy/chain_choice.py
+++ b/src/almondshift/policy/chain_choice.py
@@ -1,19 +1,21 @@
-"""Choice of a chain: least expected time through the layer graph.
-
-Load pattern: mixed accelerators that hold overlapping layer ranges, on links
-that differ. Chains taken in turn run at the pace of the slowest engine and
-leave fast ones idle; always taking the best makes all nodes with the same
-late report take the same one.
-
-Grounds: a chain's time is a sum over its stages, so the least is a shortest
-path over layer boundaries. Engines with the same range stand in one group;
-for each group a few with room are drawn at random and the best of them
-stands for it (``pools``), so that the cost depends on the number of ranges
-and not of engines. An engine's time grows with its utilisation, at the limit
-to three times that of an idle one: requests then go where there is spare
-capacity, in proportion to it, and a scarce range is left to those who need
-it. The node carries activations itself, so a stage costs two passes of the
-link between the node's availability zone and the engine's.
+"""Chain selection: the path of least expected time through the layer graph.
+
+Load pattern: accelerators of different speeds that hold overlapping layer
+ranges, connected by links of different latency. Round robin over chains runs
+at the pace of the slowest engine and leaves fast ones idle; always choosing
+the best chain makes all nodes with the same outdated report choose the same
+one.
+
+Rationale: the time of a chain is the sum of its stages, so the fastest chain
+is a shortest path over layer boundaries. Engines with the same range form one
+group. For each group a few engines with spare capacity are sampled at random
+and the best of them represents the group (see ``pools``), so that the cost
+depends on the number of ranges and not on the number of engines. The expected
+time of an engine grows with its utilisation, up to three times the idle time
+at its limit. Requests therefore go where there is spare capacity, in
+proportion to it, and a scarce range is left to the requests that need it. The
+node carries activations itself, so each stage costs two passes over the link
+between the availability zones of the node and the engine.
 """
 
 from __future__ import annotations
@@ -39,21 +41,21 @@
 
 LOCAL_LINK_S = 0.0002
 UNKNOWN_LINK_S = 0.0005
-CONGESTION = 2.0
-JITTER = 0.1
-"""Costs closer than a tenth count as equal and are chosen at random."""
+CONGESTION_FACTOR = 2.0
+COST_JITTER = 0.1
+"""Costs within a tenth of each other are equal; the choice is random."""
 CYCLE_SMOOTHING = 0.1
-OVERFULL = 4.0
-"""Cost factor of an engine taken although it has no room."""
+SATURATED_COST_FACTOR = 4.0
+"""Cost factor of an engine that is used although it has no capacity left."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Job:
-    """What a chain is wanted for.
+    """Work that a chain is chosen for.
 
     Attributes:
-        prompt_tokens: Tokens to run before the first new one.
-        tokens: Tokens expected to be generated.
+        prompt_tokens: Tokens to process before the first generated one.
+        tokens: Number of tokens expected to be generated.
     """
 
     prompt_tokens: int
@@ -67,7 +69,7 @@
     """A chosen chain.
 
     Attributes:
-        seconds: Expected time of the whole request along it.
+        seconds: Expected time of the entire request on this chain.
     """
 
     stages: tuple[chains.Stage, ...]
@@ -76,7 +78,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Hop:
-    """From one boundary a range leads to these others."""
+    """Boundaries that a range reaches from one boundary."""
 
     span: layers.LayerRange
     ends: tuple[int, ...]
@@ -84,34 +86,35 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Cost:
-    """Expected seconds in one engine, as a line over its layers."""
+    """Expected seconds on one engine, linear in the number of layers."""
 
     name: str
-    fixed: float
-    per_layer: float
+    fixed_s: float
+    per_layer_s: float
 
     def seconds(self, layer_count: int) -> float:
-        return self.fixed + self.per_layer * layer_count
+        return self.fixed_s + self.per_layer_s * layer_count
 
 
 class _Engine:
-    """An engine with what choosing it needs at hand."""
+    """An engine with the cached data needed to choose it."""
 
     def __init__(self, description: endpoints.EndpointDescription) -> None:
         self.description = description
         self.load = concurrency.EngineLoad()
         self.link_s = UNKNOWN_LINK_S
-        self.open = False
+        self.available = False
 
 
 class ChainChooser:
-    """Keeps the engines' load and chooses chains.
+    """Tracks the load of engines and chooses chains.
 
     Attributes:
         engines: Engines by name.
-        openings: Grows when an engine gets room; who waits compares it.
-        active_peers: Peers that have requests in flight.
-        known_peers: Peers known.
+        capacity_generation: Counter that grows when an engine gains capacity;
+            compared to decide whether to try waiting requests again.
+        active_peers: Number of peers that have requests in flight.
+        known_peers: Number of known peers.
     """
 
     def __init__(
@@ -130,7 +133,7 @@
         self.long_jobs = long_jobs
         self.hints = hints
         self.engines: dict[str, _Engine] = {}
-        self.openings = 0
+        self.capacity_generation = 0
         self.active_peers = 0
         self.known_peers = 0
         self._pools: dict[
@@ -148,45 +151,47 @@
         self._objectives: dict[str, float] = {}
 
     def cycle_s(self, model: str) -> float:
-        """Returns the time of one token round a chain of this model."""
+        """Returns the time of one token through a chain of this model."""
         return self._cycles.get(model, 0.0)
 
     def sync(self) -> None:
-        """Takes over what changed in the topology."""
+        """Applies pending topology changes."""
         for name in self.topology.changed:
             self._sync_engine(name)
         self.topology.changed.clear()
 
     def refresh(self, name: str) -> None:
-        """Puts an engine into its pools or takes it out of them."""
+        """Adds an engine to its pools or removes it, by its spare capacity."""
         engine = self.engines.get(name)
         if engine is None:
             return
         state = self.health.state(name)
         allowed = engine.load.allowed
         if state is ejection.State.TRIAL:
-            allowed = min(allowed, ejection.TRIAL_REQUESTS)
-        room = state is not ejection.State.OUT and engine.load.own < allowed
-        if room != engine.open:
-            self._set_open(name, engine, room)
+            allowed = min(allowed, ejection.MAX_TRIAL_REQUESTS)
+        available = (
+            state is not ejection.State.EJECTED and engine.load.own < allowed
+        )
+        if available != engine.available:
+            self._set_available(name, engine, available)
 
-    def reported(self, report: endpoints.LoadReport, at: float) -> None:
-        """Takes an engine's load report."""
+    def apply_report(self, report: endpoints.LoadReport, at: float) -> None:
+        """Applies an engine's load report."""
         engine = self.engines.get(report.endpoint)
         if engine is None:
             return
         engine.load.limit = self._limit(report.endpoint, engine)
-        engine.load.reported(
+        engine.load.apply_report(
             report, at - report.age_s, self.active_peers, self.known_peers
         )
-        # A fraction of a slot is one slot with that probability, drawn
-        # once for each report: with many nodes, each would otherwise round
-        # down to none or all up to one.
+        # A fractional slot becomes one slot with that probability, drawn
+        # once per report. With deterministic rounding, many nodes would all
+        # round down to none or all up to one.
         engine.load.allowed = float(
             int(engine.load.allowed + self.rng.random())
         )
         self.refresh(report.endpoint)
-        self.openings += engine.open
+        self.capacity_generation += engine.available
 
     def choose(
         self,
@@ -201,73 +206,77 @@
         """Chooses stages that cover ``needed``.
 
         Args:
-            target: What the engines must hold.
+            target: Model, version and adapter that the engines must hold.
             needed: Layers to cover.
-            job: What it is for.
-            at: Now.
+            job: Work to run on the chain.
+            at: Current time.
             avoid: Engines not to use.
-            force: Whether engines without room may be taken, for the
-                recovery of a request that is already running.
+            force: Whether engines without spare capacity may be used, for
+                the recovery of a request that is already running.
 
         Returns:
-            The choice, or None if there is no chain with room.
+            The choice, or None if no chain has spare capacity.
         """
         graph = self._graph(target, needed)
-        drawn = self._draw(target, job, at, avoid, force)
+        sampled = self._sample_engines(target, job, at, avoid, force)
         best: dict[int, tuple[float, chains.Stage | None]] = {
             needed.end: (0.0, None)
         }
         for position in sorted(graph, reverse=True):
-            self._improve(best, position, graph[position], drawn)
-        return self._path(best, needed, target)
+            self._relax(best, position, graph[position], sampled)
+        return self._shortest_path(best, needed, target)
 
     def started(
         self, stages: Iterable[chains.Stage], job: Job, at: float
     ) -> None:
-        """Notes that a request runs along these stages."""
+        """Records that a request was started on these stages."""
         for stage in stages:
             engine = self.engines.get(stage.endpoint)
             if engine is None:
                 continue
-            engine.load.change(at, 1)
+            engine.load.adjust_own(at, 1)
             engine.load.own_long += job.long
-            engine.load.pending_prompt += job.prompt_tokens
+            engine.load.pending_prompt_tokens += job.prompt_tokens
             self.hints.started(job.prefixes, stage.endpoint)
             self.refresh(stage.endpoint)
 
-    def prompted(self, stages: Iterable[chains.Stage], job: Job) -> None:
-        """Notes that a request's prompt has run through its chain."""
+    def prefill_finished(
+        self, stages: Iterable[chains.Stage], job: Job
+    ) -> None:
+        """Records that a request's prompt has been processed by its chain."""
         for stage in stages:
             engine = self.engines.get(stage.endpoint)
             if engine is not None:
-                left = engine.load.pending_prompt - job.prompt_tokens
-                engine.load.pending_prompt = max(0, left)
+                remaining = (
+                    engine.load.pending_prompt_tokens - job.prompt_tokens
+                )
+                engine.load.pending_prompt_tokens = max(0, remaining)
 
     def ended(
         self, stages: Iterable[chains.Stage], job: Job, at: float
     ) -> None:
-        """Notes that a request left these stages."""
+        """Records that a request has left these stages."""
         for stage in stages:
             self.hints.ended(job.prefixes, stage.endpoint)
             engine = self.engines.get(stage.endpoint)
             if engine is None or engine.load.own == 0:
                 continue
-            engine.load.change(at, -1)
+            engine.load.adjust_own(at, -1)
             engine.load.own_long = max(0, engine.load.own_long - job.long)
             self.refresh(stage.endpoint)
-            self.openings += job.long
+            self.capacity_generation += job.long
 
-    def full(self, name: str) -> None:
-        """Notes that an engine refused work: no more until it reports."""
+    def mark_full(self, name: str) -> None:
+        """Stops sending work to an engine that refused it until it reports."""
         engine = self.engines.get(name)
         if engine is not None:
             engine.load.allowed = min(engine.load.allowed, engine.load.own)
             self.refresh(name)
 
-    def peer_in_flight(
+    def set_peer_in_flight(
         self, node: str, before: dict[str, int], now: dict[str, int]
     ) -> None:
-        """Takes what a peer has in flight in place of what it had."""
+        """Replaces a peer's previous in-flight counts with the current ones."""
         for name in before.keys() - now.keys():
             if name in self.engines:
                 self.engines[name].load.peers.discard(node)
@@ -275,58 +284,61 @@
             if name in self.engines:
                 self.engines[name].load.peers.add(node)
 
-    def configured(self) -> None:
-        """Takes latencies and objectives from a new configuration."""
+    def apply_config(self) -> None:
+        """Applies latencies and objectives of a new configuration."""
         fleet = self.topology.fleet
         self._objectives.clear()
         for service in fleet.services.values() if fleet else ():
             objective = service.objectives.between_tokens_s
-            least = self._objectives.get(service.model, objective)
-            self._objectives[service.model] = min(least, objective)
+            strictest = self._objectives.get(service.model, objective)
+            self._objectives[service.model] = min(strictest, objective)
         for name, engine in self.engines.items():
-            known = self.topology.endpoints[name]
-            engine.link_s = self._link_s(known.zone)
+            endpoint = self.topology.endpoints[name]
+            engine.link_s = self._link_s(endpoint.zone)
 
-    def usual_call_s(self, name: str, tokens: int, layer_count: int) -> float:
-        """Returns what a call should take by the engine's description.
+    def expected_call_s(
+        self, name: str, tokens: int, layer_count: int
+    ) -> float:
+        """Returns the expected call time by the engine's description.
 
-        Other requests share its batch, as many as its utilisation says,
-        and past its limit the call waits for whole batches before it.
+        The call shares its batch with other requests in proportion to the
+        engine's utilisation. Above the engine's limit it also waits for
+        complete batches ahead of it.
         """
         engine = self.engines.get(name)
         if engine is None:
             return 1.0
         described = engine.description
-        used = engine.load.utilisation
-        shared = described.max_batch * min(1.0, used)
+        utilisation = engine.load.utilisation
+        shared = described.max_batch * min(1.0, utilisation)
         work = described.per_layer_token_s * layer_count * max(tokens, shared)
         batch_s = max(engine_rates.MIN_BATCH_S, described.fixed_s + work)
-        return batch_s * max(1.0, used)
+        return batch_s * max(1.0, utilisation)
 
     def _sync_engine(self, name: str) -> None:
-        known = self.topology.endpoints.get(name)
-        served = known.served if known else frozenset()
+        endpoint = self.topology.endpoints.get(name)
+        served = endpoint.served if endpoint else frozenset()
         before = self._served.get(name, frozenset())
         for target, span in before:
             self._pool(target, span).discard(name)
-        if known is None or known.description is None:
+        if endpoint is None or endpoint.description is None:
             self._served.pop(name, None)
             self.engines.pop(name, None)
             self.health.forget(name)
             self.hints.forget(name)
             return
-        engine = self._engine(name, known.description)
+        engine = self._engine(name, endpoint.description)
         self._served[name] = served
-        engine.link_s = self._link_s(known.zone)
+        engine.link_s = self._link_s(endpoint.zone)
         spans = sorted({span for _, span in served})
-        self.health.place(
-            name, (known.description.accelerator, *spans) if spans else name
+        self.health.set_group(
+            name, (endpoint.description.accelerator, *spans) if spans else name
         )
         engine.load.limit = self._limit(name, engine)
         if before == frozenset():
-            equal = engine.load.limit / (1 + self.known_peers)
-            engine.load.allowed = max(1.0, equal)
-        engine.open = False
+            equal_share = engine.load.limit / (1 + self.known_peers)
+            engine.load.allowed = max(1.0, equal_share)
+        engine.available = False
         self.refresh(name)
 
     def _engine(
@@ -339,15 +351,17 @@
             engine = self.engines[name] = _Engine(description)
         return engine
 
-    def _set_open(self, name: str, engine: _Engine, room: bool) -> None:
-        engine.open = room
+    def _set_available(
+        self, name: str, engine: _Engine, available: bool
+    ) -> None:
+        engine.available = available
         for target, span in self._served.get(name, ()):
-            if room:
+            if available:
                 self._pool(target, span).add(name)
             else:
                 self._pool(target, span).discard(name)
-        if room:
-            self.openings += 1
+        if available:
+            self.capacity_generation += 1
 
     def _pool(
         self, target: topologies.Target, span: layers.LayerRange
@@ -374,7 +388,7 @@
         )
 
     def _objective_s(self, model: str) -> float:
-        """Returns the least time between tokens promised on a model."""
+        """Returns the strictest time-between-tokens objective of a model."""
         return self._objectives.get(model, 0.0)
 
     def _link_s(self, zone: str) -> float:
@@ -398,7 +412,7 @@
             self._graphs[key] = build_graph(spans, needed)
         return self._graphs[key]
 
-    def _draw(
+    def _sample_engines(
         self,
         target: topologies.Target,
         job: Job,
@@ -406,20 +420,20 @@
         avoid: frozenset[str],
         force: bool,
     ) -> dict[layers.LayerRange, _Cost]:
-        """Draws an engine for each range."""
-        hinted = self.hints.holders(job.prefixes, pools.DRAWN)
-        drawn = {}
+        """Chooses the cheapest of a few sampled engines for each range."""
+        hinted = self.hints.holders(job.prefixes, pools.SAMPLE_SIZE)
+        sampled = {}
         for span, pool in self._pools.get(target, {}).items():
-            names = pool.draw(self.rng)
+            names = pool.sample(self.rng)
             names += [name for name in hinted if name in pool]
             usable = [n for n in names if self._usable(n, job, at, avoid)]
             factor = 1.0
             if not usable and force:
-                usable = self._overfull(target, span, avoid)
-                factor = OVERFULL
+                usable = self._saturated_engines(target, span, avoid)
+                factor = SATURATED_COST_FACTOR
             if usable:
-                drawn[span] = self._cheapest(usable, span, job, factor)
-        return drawn
+                sampled[span] = self._cheapest(usable, span, job, factor)
+        return sampled
 
     def _usable(
         self, name: str, job: Job, at: float, avoid: frozenset[str]
@@ -431,7 +445,7 @@
         load = self.engines[name].load
         return load.own_long < self.long_jobs.slots(at, load.allowed)
 
-    def _overfull(
+    def _saturated_engines(
         self,
         target: topologies.Target,
         span: layers.LayerRange,
@@ -442,11 +456,11 @@
         healthy = [
             name
             for name in usable
-            if self.health.state(name) is not ejection.State.OUT
+            if self.health.state(name) is not ejection.State.EJECTED
         ]
         usable = healthy or usable
-        if len(usable) > pools.DRAWN:
-            usable = self.rng.sample(usable, pools.DRAWN)
+        if len(usable) > pools.SAMPLE_SIZE:
+            usable = self.rng.sample(usable, pools.SAMPLE_SIZE)
         return usable
 
     def _cheapest(
@@ -460,35 +474,42 @@
         return min(costs, key=lambda cost: cost.seconds(span.count))
 
     def _cost(self, name: str, job: Job, factor: float) -> _Cost:
-        """Returns the expected time of a job in one stage, by layers."""
+        """Returns the expected time of a job on one stage, by layers."""
         engine = self.engines[name]
         load, described = engine.load, engine.description
-        used = min(1.0, load.utilisation)
-        slow = self.health.slowness(name)
-        busy = slow * (1.0 + CONGESTION * used * used)
+        utilisation = min(1.0, load.utilisation)
+        slowness = self.health.slowness(name)
+        load_factor = slowness * (
+            1.0 + CONGESTION_FACTOR * utilisation * utilisation
+        )
         tokens = 1.0 + job.tokens
         steps = tokens + load.queued / max(1, described.max_batch)
-        batch = max(1.0, used * described.max_batch)
-        cached = self.hints.share(job.prefixes, name, load.allowed)
-        prompt = job.prompt_tokens * (1.0 - cached) + load.pending_prompt
-        work = steps * busy * batch + prompt * slow
-        factor *= 1.0 + JITTER * self.rng.random()
+        batch = max(1.0, utilisation * described.max_batch)
+        cached = self.hints.cached_share(job.prefixes, name, load.allowed)
+        prefill_tokens = (
+            job.prompt_tokens * (1.0 - cached) + load.pending_prompt_tokens
+        )
+        work = steps * load_factor * batch + prefill_tokens * slowness
+        factor *= 1.0 + COST_JITTER * self.rng.random()
         return _Cost(
             name,
             factor
-            * (steps * busy * described.fixed_s + 2.0 * tokens * engine.link_s),
+            * (
+                steps * load_factor * described.fixed_s
+                + 2.0 * tokens * engine.link_s
+            ),
             factor * work * described.per_layer_token_s,
         )
 
-    def _improve(
+    def _relax(
         self,
         best: dict[int, tuple[float, chains.Stage | None]],
         position: int,
         hops: tuple[_Hop, ...],
-        drawn: dict[layers.LayerRange, _Cost],
+        sampled: dict[layers.LayerRange, _Cost],
     ) -> None:
         for hop in hops:
-            cost = drawn.get(hop.span)
+            cost = sampled.get(hop.span)
             if cost is None:
                 continue
             for end in hop.ends:
@@ -499,7 +520,7 @@
                     span = layers.LayerRange(position, end)
                     best[position] = (seconds, chains.Stage(cost.name, span))
 
-    def _path(
+    def _shortest_path(
         self,
         best: dict[int, tuple[float, chains.Stage | None]],
         needed: layers.LayerRange,
@@ -516,11 +537,11 @@
             stages.append(stage)
             position = stage.layers.end
         if needed.count == self.topology.layer_count(target.model):
-            self._note_cycle(target.model, stages)
+            self._update_cycle(target.model, stages)
         return Choice(tuple(stages), best[needed.start][0])
 
-    def _note_cycle(self, model: str, stages: list[chains.Stage]) -> None:
-        """Keeps the time of a token round chains with full batches."""
+    def _update_cycle(self, model: str, stages: list[chains.Stage]) -> None:
+        """Updates the smoothed token cycle time of chains with full batches."""
         cycle = 0.0
         for stage in stages:
             engine = self.engines[stage.endpoint]
@@ -535,10 +556,10 @@
 def build_graph(
     spans: list[layers.LayerRange], needed: layers.LayerRange
 ) -> dict[int, tuple[_Hop, ...]]:
-    """Returns, for each boundary, the ranges that lead on from it.
+    """Returns the usable ranges at each layer boundary.
 
-    A chain goes on to the end of a range, or leaves it where another range
-    begins; other places to leave would only move the same boundary.
+    A chain leaves a range at its end or where another range begins. Other
+    boundaries are not considered: they would only shift the same handover.
     """
     starts = {s.start for s in spans if needed.start < s.start < needed.end}
     ends = {s.end for s in spans if needed.start < s.end < needed.end}
--- a/src/almondshift/policy/concurrency.py
+++ b/src/almondshift/policy/concurrency.py
@@ -1,25 +1,27 @@
-"""How many requests a node may have on an engine.
-
-Load pattern: many requests at once through several nodes that see an
-engine's load late. Without a bound, what exceeds a full batch waits inside
-the engine, where it can be neither reordered by account nor refused, and
-every request's time between tokens grows with it; with a bound that each
-node applies to the whole engine, eight nodes overshoot eightfold within the
-lag of one report.
-
-Grounds: by Little's law an engine with full batches of ``max_batch`` needs
-``rate * cycle`` requests on it, where the cycle is the time of one token
-round the whole chain: with fewer, its batches are not full and throughput
-is lost, with more, they queue. A fifth more covers the variation of batches.
-Where the chain is faster than the objective between tokens, requests up to
-six tenths of it are let in: batching then raises throughput, and what is
-left covers prompts that come between and the other nodes' late sight. Nine
-tenths of the sessions that the engine's memory holds are the most, so that
-lag doesn't turn into refusals by the engine.
-
-A node counts what it sent itself exactly and the others by the engine's
-report, taken at the time when the report was true; ``shares`` divides what
-is free.
+"""Limits on the number of requests that a node runs on an engine.
+
+Load pattern: many concurrent requests through several nodes that learn an
+engine's load with a delay. Without a bound, requests beyond a full batch wait
+inside the engine, where they can't be reordered by account or refused, and the
+time between tokens grows for every request. With a bound that each node applies
+to the entire engine, eight nodes overshoot eightfold within the delay of one
+report.
+
+Rationale: by Little's law an engine with full batches of ``max_batch`` needs
+``rate * cycle`` concurrent requests, where the cycle is the time of one token
+through the entire chain. With fewer, its batches are not full and throughput
+is lost; with more, requests queue. An extra fifth covers the variation of
+batches.
+
+If the chain is faster than the objective for the time between tokens, requests
+are admitted up to six tenths of the objective: batching then raises throughput,
+and the rest leaves room for interleaved prompts and for the delayed view of
+other nodes. At most nine tenths of the sessions that the engine's memory holds
+are used, so that delays don't lead to refusals by the engine.
+
+A node counts its own requests exactly, and those of others from the engine's
+report as of the time when it was measured; ``shares`` divides the free
+capacity.
 """
 
 from __future__ import annotations
@@ -34,31 +36,31 @@
 if TYPE_CHECKING:
     from almondshift.model import endpoints
 
-VARIATION = 1.2
+BATCH_VARIATION = 1.2
 OBJECTIVE_SHARE = 0.6
-MEMORY_SHARE = 0.9
+MAX_SESSION_SHARE = 0.9
 HISTORY_S = 10.0
-FEW_SHARERS = 8
+MAX_ASSUMED_SHARERS = 8
 
 
 class EngineLoad:
-    """What is on one engine, as this node knows it.
+    """Load of one engine, as known to this node.
 
     Attributes:
-        own: Requests of this node on it.
-        own_long: Those of them that are long.
-        pending_prompt: Own prompt tokens sent and not answered yet.
-        allowed: Requests that this node may have on it.
-        others: Requests of other nodes on it.
-        limit: Requests of all nodes that it should have at most.
+        own: Number of this node's requests on the engine.
+        own_long: Number of this node's long requests on it.
+        pending_prompt_tokens: Own prompt tokens sent and not answered yet.
+        allowed: Number of requests that this node may have on it.
+        others: Number of requests of other nodes on it.
+        limit: Maximum number of requests of all nodes on it.
         queued: Items queued in it at the last report.
-        peers: Peers that say they have requests on it.
+        peers: Peers that report requests on it.
     """
 
     def __init__(self) -> None:
         self.own = 0
         self.own_long = 0
-        self.pending_prompt = 0
+        self.pending_prompt_tokens = 0
         self.allowed = 1.0
         self.others = 0.0
         self.limit = 1.0
@@ -70,47 +72,49 @@
 
     @property
     def utilisation(self) -> float:
-        """Requests of all nodes on it, by the limit."""
+        """Requests of all nodes on the engine, divided by its limit."""
         return (self.own + self.others) / self.limit
 
-    def change(self, at: float, by: int) -> None:
-        """Notes that requests of this node started or ended."""
+    def adjust_own(self, at: float, by: int) -> None:
+        """Records that requests of this node started or ended."""
         self.own += by
         self._changes.append((at, by))
         while self._changes[0][0] < at - HISTORY_S:
             self._changes.popleft()
 
     def own_at(self, at: float) -> int:
-        """Returns how many of this node's requests were on it then."""
+        """Returns the number of own requests on the engine at a past time."""
         later = 0
-        for when, by in reversed(self._changes):
-            if when <= at:
+        for changed_at, by in reversed(self._changes):
+            if changed_at <= at:
                 break
             later += by
         return self.own - later
 
-    def reported(
+    def apply_report(
         self,
         report: endpoints.LoadReport,
-        true_at: float,
-        active: int,
-        known: int,
+        measured_at: float,
+        active_peers: int,
+        known_peers: int,
     ) -> None:
-        """Takes a report.
+        """Updates the load from a report.
 
         Args:
-            report: The report.
-            true_at: When it was true.
-            active: Peers that have requests in flight anywhere.
-            known: Peers known.
+            report: Load report of the engine.
+            measured_at: Time at which it was measured.
+            active_peers: Number of peers that have requests in flight anywhere.
+            known_peers: Number of known peers.
         """
-        own_then = self.own_at(true_at)
-        total = float(max(report.sessions, own_then))
-        self.others = total - own_then
+        own_at_report = self.own_at(measured_at)
+        total = float(max(report.sessions, own_at_report))
+        self.others = total - own_at_report
         self.queued = report.queued_items
-        sharers = 1 + max(len(self.peers), min(active, FEW_SHARERS))
+        sharers = 1 + max(
+            len(self.peers), min(active_peers, MAX_ASSUMED_SHARERS)
+        )
         self.allowed = shares.next_share(
-            self.limit, own_then, total, sharers, 1 + known
+            self.limit, own_at_report, total, sharers, 1 + known_peers
         )
 
 
@@ -120,16 +124,16 @@
     cycle_s: float,
     objective_s: float,
 ) -> float:
-    """Returns how many requests should be on an engine at most.
+    """Returns the maximum number of requests on an engine.
 
     Args:
-        description: What the engine says of itself.
-        layer_count: Layers that each request runs on it.
-        cycle_s: Time of one token round a chain with full batches.
-        objective_s: Time between tokens that was promised.
+        description: The engine's own description.
+        layer_count: Number of layers that each request runs on it.
+        cycle_s: Time of one token through a chain with full batches.
+        objective_s: Objective for the time between tokens.
     """
     rate = engine_rates.tokens_per_s(description, layer_count)
-    round_s = max(cycle_s * VARIATION, objective_s * OBJECTIVE_SHARE)
+    round_s = max(cycle_s * BATCH_VARIATION, objective_s * OBJECTIVE_SHARE)
     needed = max(description.max_batch, rate * round_s)
-    memory = max(1.0, description.max_sessions * MEMORY_SHARE)
+    memory = max(1.0, description.max_sessions * MAX_SESSION_SHARE)
     return float(min(math.ceil(needed), memory))
--- a/src/almondshift/policy/ejection.py
+++ b/src/almondshift/policy/ejection.py
@@ -1,32 +1,32 @@
-"""Ejection of endpoints that are slower than their like, or that fail.
-
-Load pattern: one engine that answers, but slowly (a throttled card, a
-degraded link). It holds up every chain that runs through it, and with
-several stages a chain most requests meet it. Choice by expected time alone
-sends it less, but never learns that it has recovered.
-
-Grounds: an engine is compared with the median of those with the same kind
-of accelerator and the same layers (of the same service, for plain ones),
-since mismatched accelerators differ by more than a slow one differs from
-its like. What is compared is the least time of a call in the last window of
-half a second and five calls, by the time that the engine's description gives
-for its present load. A call's mean time is mostly waiting behind others'
-work, which differs tenfold between healthy engines (comparing smoothed times
-ejected healthy engines some fifteen times a second in the bench at 1x),
-while the least time of a slow engine is as slow as it is. Three times the
-median is beyond what a wrongly estimated batch makes, and an engine that is
-ten times slow still answers five calls of a node in about a second. Nothing
-is judged before half of the group is measured.
-
-At most a fifth of a group, and at least one of it, may be out: if more are
-slow, the load is the cause and ejecting makes it worse. A group of one has
-nothing to be compared with and is left in.
-
-An ejected endpoint is probed after one second, then after twice as long
-each time up to thirty; once a probe is as fast as its like, it gets two
-requests at once for a window; if that is good, its full share.
-An endpoint that can't be reached, or fails twice with no answer between, is
-ejected whatever the cap says.
+"""Outlier ejection: removes slow and failing endpoints from service.
+
+Load pattern: one engine answers, but slowly (a throttled accelerator, a
+degraded link). It delays every chain that runs through it, and with several
+stages per chain most requests meet it. Selection by expected time alone sends
+it less work, but never learns that it has recovered.
+
+Rationale: an engine is compared with the median of the engines with the same
+kind of accelerator and the same layers (for plain endpoints, of the same
+service), because mismatched accelerators differ by more than a slow one
+differs from its group. The compared value is the minimum call time in a window
+of at least half a second and five calls, divided by the time expected from the
+engine's description at its present load. The mean time of a call is mostly
+queueing behind other work, which differs tenfold between healthy engines
+(comparing smoothed times ejected healthy engines about fifteen times a second
+in the bench at 1x), while the minimum of a slow engine is as slow as the
+engine. Three times the median is more than a wrongly estimated batch causes,
+and an engine that is ten times slower still answers five calls of a node in
+about a second. No endpoint is judged before half of its group is measured.
+
+At most a fifth of a group, or one endpoint if that is more, may be ejected: if
+more are slow, the load is the cause and ejection makes it worse. The only
+endpoint of a group has nothing to be compared with and stays in service.
+
+An ejected endpoint is probed after one second, then with exponential backoff
+up to thirty seconds. Once a probe is as fast as the group, the endpoint gets
+two concurrent requests for a trial window, and its full share if the trial
+succeeds. An endpoint that can't be reached, or fails twice without an answer
+in between, is ejected regardless of the cap.
 """
 
 from __future__ import annotations
@@ -42,107 +42,113 @@
     from collections.abc import Hashable
 
 SLOW_RATIO = 3.0
-MIN_CALLS = 5
-TRIAL_REQUESTS = 2
-FAILURES = 2
+MIN_WINDOW_CALLS = 5
+MAX_TRIAL_REQUESTS = 2
+EJECT_AFTER_FAILURES = 2
 MAX_EJECTED_SHARE = 0.2
 SMOOTHING = 0.3
-FIRST_PROBE_S = 1.0
-LAST_PROBE_S = 30.0
+MIN_PROBE_DELAY_S = 1.0
+MAX_PROBE_DELAY_S = 30.0
 PROBE_TIMEOUT_S = 5.0
-MEDIAN_HOLDS_S = 0.1
+MEDIAN_REFRESH_S = 0.1
 WINDOW_S = 0.5
 
 
 class State(enum.Enum):
-    """Whether an endpoint gets work."""
+    """Whether an endpoint receives work."""
 
-    IN = "in"
+    ACTIVE = "in"
     TRIAL = "trial"
-    OUT = "out"
+    EJECTED = "out"
 
 
 @dataclasses.dataclass(slots=True)
 class _Health:
     group: Hashable
-    state: State = State.IN
+    state: State = State.ACTIVE
     ratio: float = 1.0
     calls: int = 0
     failures: int = 0
-    wait_s: float = FIRST_PROBE_S
-    window_at: float = float("-inf")
+    probe_delay_s: float = MIN_PROBE_DELAY_S
+    window_started_at: float = float("-inf")
     window_calls: int = 0
-    least: float = math.inf
-    least_before: float = math.inf
+    window_min: float = math.inf
+    previous_min: float = math.inf
 
     @property
-    def floor(self) -> float:
-        """The least ratio in the last one to two windows, 0 if unknown."""
-        if self.least_before == math.inf:
+    def recent_min(self) -> float:
+        """The minimum ratio in the last one to two windows, 0 if unknown."""
+        if self.previous_min == math.inf:
             return 0.0
-        return min(self.least, self.least_before)
+        return min(self.window_min, self.previous_min)
 
-    def note(self, at: float, ratio: float) -> None:
-        """Takes the ratio of a call's time to the usual one."""
+    def record(self, at: float, ratio: float) -> None:
+        """Records the ratio of a call's time to the expected time."""
         if self.calls == 0:
             self.ratio = ratio
         self.ratio += SMOOTHING * (ratio - self.ratio)
         self.calls += 1
         if self.calls == 1:
-            self.window_at = at
-        full = self.window_calls >= MIN_CALLS
-        if full and at - self.window_at >= WINDOW_S:
-            self.least_before = self.least
-            self.least = math.inf
+            self.window_started_at = at
+        window_complete = self.window_calls >= MIN_WINDOW_CALLS
+        if window_complete and at - self.window_started_at >= WINDOW_S:
+            self.previous_min = self.window_min
+            self.window_min = math.inf
             self.window_calls = 0
-            self.window_at = at
-        self.least = min(self.least, ratio)
+            self.window_started_at = at
+        self.window_min = min(self.window_min, ratio)
         self.window_calls += 1
 
-    def start_over(self) -> None:
-        """Forgets what was measured."""
+    def reset(self) -> None:
+        """Discards all measurements."""
         self.calls = 0
         self.failures = 0
-        self.window_at = float("-inf")
+        self.window_started_at = float("-inf")
         self.window_calls = 0
-        self.least = self.least_before = math.inf
+        self.window_min = self.previous_min = math.inf
 
 
 @dataclasses.dataclass(slots=True)
 class _Group:
     members: dict[str, _Health] = dataclasses.field(default_factory=dict)
     median: float = 1.0
-    floor: float = 1.0
+    typical_min: float = 1.0
     measured: bool = False
-    median_at: float = float("-inf")
+    refreshed_at: float = float("-inf")
 
     def refresh(self, at: float) -> None:
-        if at - self.median_at < MEDIAN_HOLDS_S:
+        if at - self.refreshed_at < MEDIAN_REFRESH_S:
             return
-        known = [h.ratio for h in self.members.values() if h.calls]
-        if known:
-            self.median = statistics.median_low(known)
-        floors = [h.floor for h in self.members.values() if h.floor > 0.0]
-        self.floor = max(1.0, statistics.median_low(floors)) if floors else 1.0
-        self.measured = len(floors) >= max(2, len(known) / 2)
-        self.median_at = at
+        ratios = [h.ratio for h in self.members.values() if h.calls]
+        if ratios:
+            self.median = statistics.median_low(ratios)
+        recent_mins = [
+            h.recent_min for h in self.members.values() if h.recent_min > 0.0
+        ]
+        self.typical_min = (
+            max(1.0, statistics.median_low(recent_mins)) if recent_mins else 1.0
+        )
+        self.measured = len(recent_mins) >= max(2, len(ratios) / 2)
+        self.refreshed_at = at
 
     def may_eject(self) -> bool:
-        out = sum(h.state is not State.IN for h in self.members.values())
-        most = max(1, int(len(self.members) * MAX_EJECTED_SHARE))
-        return out < most and out + 1 < len(self.members)
+        ejected = sum(
+            h.state is not State.ACTIVE for h in self.members.values()
+        )
+        max_ejected = max(1, int(len(self.members) * MAX_EJECTED_SHARE))
+        return ejected < max_ejected and ejected + 1 < len(self.members)
 
 
 class Ejection:
-    """Keeps the health of endpoints."""
+    """Tracks the health of endpoints."""
 
     def __init__(self) -> None:
         self._healths: dict[str, _Health] = {}
         self._groups: dict[Hashable, _Group] = {}
-        self._due: list[tuple[float, str]] = []
+        self._probe_queue: list[tuple[float, str]] = []
 
-    def place(self, name: str, group: Hashable) -> None:
-        """Notes which endpoints an endpoint is compared with."""
+    def set_group(self, name: str, group: Hashable) -> None:
+        """Sets the group of endpoints that an endpoint is compared with."""
         health = self._healths.get(name)
         if health is None:
             health = self._healths[name] = _Health(group)
@@ -151,11 +157,11 @@
         else:
             self._groups[health.group].members.pop(name, None)
             health.group = group
-            health.start_over()
+            health.reset()
         self._groups.setdefault(group, _Group()).members[name] = health
 
     def forget(self, name: str) -> None:
-        """Forgets an endpoint that is gone."""
+        """Removes an endpoint that is gone."""
         health = self._healths.pop(name, None)
         if health is None:
             return
@@ -165,20 +171,22 @@
             del self._groups[health.group]
 
     def state(self, name: str) -> State:
-        """Returns whether an endpoint gets work."""
+        """Returns whether an endpoint receives work."""
         health = self._healths.get(name)
-        return health.state if health else State.IN
+        return health.state if health else State.ACTIVE
 
     def slowness(self, name: str) -> float:
-        """Returns how much slower it is than its like; 1.0 if unknown."""
+        """Returns its slowness relative to its group; 1.0 if unknown."""
         health = self._healths.get(name)
         if health is None or not health.calls:
             return 1.0
         median = self._groups[health.group].median
         return min(10.0, max(0.5, health.ratio / max(median, 1e-9)))
 
-    def timed(self, name: str, at: float, seconds: float, usual: float) -> bool:
-        """Takes the time of a call and the time that was to be expected.
+    def record_call(
+        self, name: str, at: float, seconds: float, expected_s: float
+    ) -> bool:
+        """Records the time of a call and the time that was expected.
 
         Returns:
             Whether the endpoint's state changed.
@@ -186,94 +194,104 @@
         health = self._healths.get(name)
         if health is None:
             return False
-        health.note(at, seconds / max(usual, 1e-9))
+        health.record(at, seconds / max(expected_s, 1e-9))
         health.failures = 0
         group = self._groups[health.group]
         group.refresh(at)
         if health.state is State.TRIAL:
             return self._judge_trial(name, health, at)
-        if health.state is State.IN and _is_slow(health, group):
-            return self._eject(name, health, at)
+        if health.state is State.ACTIVE and _is_slow(health, group):
+            return self._try_eject(name, health, at)
         return False
 
-    def failed(self, name: str, at: float, *, certain: bool) -> bool:
-        """Takes a failed call.
+    def record_failure(
+        self, name: str, at: float, *, unreachable: bool
+    ) -> bool:
+        """Records a failed call.
 
-        The cap doesn't hold here: when an availability zone is lost, a
-        third of a group is gone at once, and what does not answer serves
-        nobody.
+        The cap doesn't apply here: when an availability zone is lost, a third
+        of a group is gone at once, and endpoints that don't answer are of no
+        use to callers.
 
         Args:
-            name: The endpoint.
-            at: Now.
-            certain: Whether it can't be reached at all.
+            name: Name of the endpoint.
+            at: Current time.
+            unreachable: Whether the endpoint can't be reached at all.
 
         Returns:
             Whether the endpoint's state changed.
         """
         health = self._healths.get(name)
-        if health is None or health.state is State.OUT:
+        if health is None or health.state is State.EJECTED:
             return False
         health.failures += 1
         if (
-            certain
+            unreachable
             or health.state is State.TRIAL
-            or health.failures >= FAILURES
+            or health.failures >= EJECT_AFTER_FAILURES
         ):
-            return self._put_out(name, health, at)
+            return self._eject(name, health, at)
         return False
 
     def probes_due(self, at: float) -> list[str]:
-        """Returns the endpoints to be probed now."""
+        """Returns the endpoints that should be probed now."""
         due = []
-        while self._due and self._due[0][0] <= at:
-            _, name = heapq.heappop(self._due)
+        while self._probe_queue and self._probe_queue[0][0] <= at:
+            _, name = heapq.heappop(self._probe_queue)
             health = self._healths.get(name)
-            if health is not None and health.state is State.OUT:
+            if health is not None and health.state is State.EJECTED:
                 due.append(name)
-                # A probe whose answer never comes would keep the endpoint
-                # out for good; it is sent again.
-                self._schedule(name, at + health.wait_s + PROBE_TIMEOUT_S)
+                # Without a repeat, a probe that is never answered would keep
+                # the endpoint ejected forever.
+                self._schedule(
+                    name, at + health.probe_delay_s + PROBE_TIMEOUT_S
+                )
         return due
 
-    def probed(self, name: str, at: float, ok: bool, ratio: float) -> bool:
-        """Takes a probe's answer; returns whether the state changed."""
+    def record_probe(
+        self, name: str, at: float, ok: bool, ratio: float
+    ) -> bool:
+        """Records a probe's result; returns whether the state changed."""
         health = self._healths.get(name)
-        if health is None or health.state is not State.OUT:
+        if health is None or health.state is not State.EJECTED:
             return False
         median = self._groups[health.group].median
         if ok and ratio <= SLOW_RATIO * max(median, 1.0):
             health.state = State.TRIAL
-            health.start_over()
+            health.reset()
             return True
-        health.wait_s = min(LAST_PROBE_S, health.wait_s * 2.0)
-        self._schedule(name, at + health.wait_s)
+        health.probe_delay_s = min(
+            MAX_PROBE_DELAY_S, health.probe_delay_s * 2.0
+        )
+        self._schedule(name, at + health.probe_delay_s)
         return False
 
     def _judge_trial(self, name: str, health: _Health, at: float) -> bool:
-        """Ends a trial once it was long enough to tell."""
-        if health.floor == 0.0:
+        """Ends a trial once it has enough measurements."""
+        if health.recent_min == 0.0:
             return False
         if _is_slow(health, self._groups[health.group]):
-            health.wait_s = min(LAST_PROBE_S, health.wait_s * 2.0)
-            return self._put_out(name, health, at)
-        health.state = State.IN
-        health.wait_s = FIRST_PROBE_S
+            health.probe_delay_s = min(
+                MAX_PROBE_DELAY_S, health.probe_delay_s * 2.0
+            )
+            return self._eject(name, health, at)
+        health.state = State.ACTIVE
+        health.probe_delay_s = MIN_PROBE_DELAY_S
         return True
 
-    def _eject(self, name: str, health: _Health, at: float) -> bool:
+    def _try_eject(self, name: str, health: _Health, at: float) -> bool:
         if not self._groups[health.group].may_eject():
             return False
-        return self._put_out(name, health, at)
+        return self._eject(name, health, at)
 
-    def _put_out(self, name: str, health: _Health, at: float) -> bool:
-        health.state = State.OUT
-        self._schedule(name, at + health.wait_s)
+    def _eject(self, name: str, health: _Health, at: float) -> bool:
+        health.state = State.EJECTED
+        self._schedule(name, at + health.probe_delay_s)
         return True
 
     def _schedule(self, name: str, at: float) -> None:
-        heapq.heappush(self._due, (at, name))
+        heapq.heappush(self._probe_queue, (at, name))
 
 
 def _is_slow(health: _Health, group: _Group) -> bool:
-    return group.measured and health.floor > SLOW_RATIO * group.floor
+    return group.measured and health.recent_min > SLOW_RATIO * group.typical_min
--- a/src/almondshift/policy/lanes.py
+++ b/src/almondshift/policy/lanes.py
@@ -1,15 +1,18 @@
-"""Requests that wait for the same engines, and how long they would wait.
-
-Load pattern: two services on different models or endpoints, one of them
-overloaded. In one queue the head of one service's line would hold up the
-other's. Grounds: requests for one model and adapter, or for one plain
-service, compete for the same endpoints, so they form one lane with its own
-fair queue, drain rate and times; what blocks one lane says nothing of
-another.
-
-Run times are learned from what was seen (a tenth of each new value, so some
-ten requests), apart for prompt and tokens, because requests differ in their
-mix of the two by more than engines differ.
+"""Lanes: groups of requests that wait for the same engines.
+
+Load pattern: two services use different models or endpoints, and one of them
+is overloaded. In a shared queue, head-of-line blocking by one service would
+delay the other.
+
+Rationale: requests for one model and adapter, or for one plain service,
+compete for the same endpoints. They form one lane with its own fair queue,
+drain rate and time estimates. A lane that is blocked says nothing about
+another one.
+
+Run times are learned from observed requests with an exponential moving average
+(a weight of a tenth for each new value, so over about ten requests). Prompt
+processing and token generation are estimated separately, because requests
+differ more in their mix of the two than engines differ in speed.
 """
 
 from __future__ import annotations
@@ -31,13 +34,13 @@
     from almondshift.policy import events
 
 SMOOTHING = 0.1
-TRY_LONG_S = 1.0
-"""Time after which a long job is tried again without an opening."""
+LONG_RETRY_INTERVAL_S = 1.0
+"""Interval at which a long job is tried even without new capacity."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LaneKey:
-    """Which endpoints a lane's requests compete for."""
+    """Identifies the endpoints that a lane's requests compete for."""
 
     plain: bool
     name: str
@@ -49,8 +52,8 @@
     """A request that is waiting or in flight.
 
     Attributes:
-        charged: Tokens charged to its account.
-        expires_at: When it is refused if it still waits.
+        charged: Tokens charged to its client account.
+        expires_at: Time at which it is refused if it is still waiting.
     """
 
     arrival: events.Arrival
@@ -64,14 +67,14 @@
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class Flight:
+class RunningRequest:
     """A request that was dispatched.
 
     Attributes:
-        chain: The chain in use, None on a plain service.
-        endpoint: The plain endpoint, ``""`` on a chain.
+        chain: The chain in use, or None for a plain service.
+        endpoint: The plain endpoint, or ``""`` for a chain.
         stages: Stages on which it counts as in flight.
-        rate: What it adds to its lane's implied drain rate.
+        rate: Its contribution to the implied drain rate of its lane.
     """
 
     request: Request
@@ -80,112 +83,118 @@
     endpoint: str = ""
     stages: tuple[chains.Stage, ...] = ()
     rate: float = 0.0
-    first_at: float | None = None
+    first_token_at: float | None = None
     tokens: int = 0
-    repeats: int = 0
-    failed: set[str] = dataclasses.field(default_factory=set)
+    retries: int = 0
+    failed_endpoints: set[str] = dataclasses.field(default_factory=set)
 
 
 class Lane:
-    """A fair queue with its drain rate and expected times.
+    """A fair queue with its drain rate and time estimates.
 
     Attributes:
-        blocked_at: Value of the chooser's ``openings`` when nothing could
-            be dispatched; until it grows, trying again is of no use.
+        blocked_generation: The chooser's ``capacity_generation`` when nothing
+            could be dispatched; a new attempt is pointless until it grows.
     """
 
     def __init__(self, key: LaneKey, rng: random.Random) -> None:
         self.key = key
         self.queue: fair_queue.FairQueue[Request] = fair_queue.FairQueue()
         self.drain = drain_rate.DrainRate()
-        self.retry = retry_after.RetryAfter(rng)
-        self.prompt_token_s = 0.0
-        self.between_s = 0.0
-        self.token_share = 1.0
-        self.blocked_at = -1
-        self.long_blocked_at = -1
+        self.retry_delays = retry_after.RetryAfter(rng)
+        self.per_prompt_token_s = 0.0
+        self.per_token_s = 0.0
+        self.generated_share = 1.0
+        self.blocked_generation = -1
+        self.long_blocked_generation = -1
         self._long_tried_at = float("-inf")
 
     def expected_tokens(self, max_tokens: int) -> float:
-        """Returns how many tokens a request is likely to generate."""
-        return max_tokens * self.token_share
+        """Returns the number of tokens that a request should generate."""
+        return max_tokens * self.generated_share
 
     def run_s(self, job: chain_choice.Job) -> float:
-        """Returns how long a job is likely to run."""
+        """Returns the expected run time of a job."""
         return (
-            job.prompt_tokens * self.prompt_token_s
-            + job.tokens * self.between_s
+            job.prompt_tokens * self.per_prompt_token_s
+            + job.tokens * self.per_token_s
         )
 
     def predicted_wait_s(self, request: Request, weight: float) -> float:
-        """Returns how long a new request would wait."""
+        """Returns the expected wait of a new request."""
         arrival = request.arrival
         ahead = self.queue.cost_ahead(arrival.account, arrival.priority, weight)
         drain = self.drain.per_second(arrival.at)
         return admission.predicted_wait_s(ahead, drain)
 
-    def refusal_s(self, request: Request, at: float) -> float:
-        """Notes a refusal and returns its Retry-After."""
+    def record_refusal(self, request: Request, at: float) -> float:
+        """Records a refusal and returns its Retry-After."""
         drain = self.drain.per_second(at)
-        return self.retry.after_refusal(
+        return self.retry_delays.after_refusal(
             at, request.cost, self.queue.cost, drain
         )
 
-    def is_blocked(self, openings: int) -> bool:
-        """Returns whether nothing has changed since nothing would go."""
-        return self.blocked_at == openings
+    def is_blocked(self, capacity_generation: int) -> bool:
+        """Returns whether no capacity was gained since dispatch failed."""
+        return self.blocked_generation == capacity_generation
 
-    def may_try_long(self, openings: int, at: float) -> bool:
-        """Returns whether a long job might go now."""
-        if self.long_blocked_at != openings:
+    def may_try_long(self, capacity_generation: int, at: float) -> bool:
+        """Returns whether a long job should be tried now."""
+        if self.long_blocked_generation != capacity_generation:
             return True
-        return at - self._long_tried_at >= TRY_LONG_S
+        return at - self._long_tried_at >= LONG_RETRY_INTERVAL_S
 
-    def block_long(self, openings: int, at: float) -> None:
-        """Notes that no long job can go for now."""
-        self.long_blocked_at = openings
+    def block_long(self, capacity_generation: int, at: float) -> None:
+        """Records that no long job can be dispatched for now."""
+        self.long_blocked_generation = capacity_generation
         self._long_tried_at = at
 
-    def started(self, flight: Flight, seconds: float) -> None:
-        """Notes a dispatch whose run should take ``seconds``."""
-        flight.rate = flight.request.cost / max(seconds, 1e-3)
-        self.drain.in_flight_rate += flight.rate
+    def started(self, running: RunningRequest, seconds: float) -> None:
+        """Records a dispatch with an expected run time of ``seconds``."""
+        running.rate = running.request.cost / max(seconds, 1e-3)
+        self.drain.in_flight_rate += running.rate
 
-    def progressed(self, flight: Flight, at: float, tokens: int) -> None:
-        """Notes tokens that came out."""
+    def progressed(
+        self, running: RunningRequest, at: float, tokens: int
+    ) -> None:
+        """Records generated tokens."""
         served = float(tokens)
-        if flight.first_at is None:
-            flight.first_at = at
-            prompt = max(1, flight.request.job.prompt_tokens)
+        if running.first_token_at is None:
+            running.first_token_at = at
+            prompt = max(1, running.request.job.prompt_tokens)
             served += prompt
-            each = (at - flight.started_at) / prompt
-            self.prompt_token_s = _smoothed(self.prompt_token_s, each)
-        flight.tokens += tokens
-        self.drain.note_served(at, served)
-
-    def ended(self, flight: Flight, at: float, *, whole: bool) -> None:
-        """Notes that a request left its endpoints."""
-        self.drain.in_flight_rate -= flight.rate
+            per_token = (at - running.started_at) / prompt
+            self.per_prompt_token_s = _smoothed(
+                self.per_prompt_token_s, per_token
+            )
+        running.tokens += tokens
+        self.drain.record_served(at, served)
+
+    def ended(
+        self, running: RunningRequest, at: float, *, completed: bool
+    ) -> None:
+        """Records that a request has left its endpoints."""
+        self.drain.in_flight_rate -= running.rate
         if self.drain.in_flight_rate < 1e-6:
             self.drain.in_flight_rate = 0.0
-        if not whole:
+        if not completed:
             return
-        arrival = flight.request.arrival
-        if flight.first_at is None:
-            self._plain_ended(flight, at)
+        arrival = running.request.arrival
+        if running.first_token_at is None:
+            self._plain_ended(running, at)
             return
-        if flight.tokens > 1:
-            each = (at - flight.first_at) / (flight.tokens - 1)
-            self.between_s = _smoothed(self.between_s, each)
+        if running.tokens > 1:
+            per_token = (at - running.first_token_at) / (running.tokens - 1)
+            self.per_token_s = _smoothed(self.per_token_s, per_token)
         if arrival.max_tokens > 0:
-            share = min(1.0, flight.tokens / arrival.max_tokens)
-            self.token_share += SMOOTHING * (share - self.token_share)
-
-    def _plain_ended(self, flight: Flight, at: float) -> None:
-        cost = max(1.0, flight.request.cost)
-        self.drain.note_served(at, cost)
-        each = (at - flight.started_at) / cost
-        self.prompt_token_s = _smoothed(self.prompt_token_s, each)
+            share = min(1.0, running.tokens / arrival.max_tokens)
+            self.generated_share += SMOOTHING * (share - self.generated_share)
+
+    def _plain_ended(self, running: RunningRequest, at: float) -> None:
+        cost = max(1.0, running.request.cost)
+        self.drain.record_served(at, cost)
+        per_token = (at - running.started_at) / cost
+        self.per_prompt_token_s = _smoothed(self.per_prompt_token_s, per_token)
 
 
 def _smoothed(before: float, value: float) -> float:
--- a/src/almondshift/policy/plain_choice.py
+++ b/src/almondshift/policy/plain_choice.py
@@ -1,11 +1,13 @@
-"""Choice of an endpoint of a plain service.
+"""Selection of an endpoint of a plain service.
 
 Load pattern: a few small servers behind several nodes, one of them slower or
-busier. Taking turns queues behind the busy one. Grounds: the less busy of
-few random ones, as for engines (``pools``). A plain service says nothing of
-its capacity, so the bound on requests in flight is a figure that any small
-server stands, 64, divided by ``shares`` between the nodes; what exceeds it
-waits here, in the fair queue, where it can be refused.
+busier than the others. Round robin queues requests behind the busy one.
+
+Rationale: the least loaded of a few random endpoints is chosen, as for engines
+(see ``pools``). A plain service doesn't report its capacity, so the limit on
+requests in flight is 64, which any small server can handle, divided between
+the nodes by ``shares``. Requests beyond it wait in the node's fair queue,
+where they can be refused.
 """
 
 from __future__ import annotations
@@ -22,11 +24,11 @@
 
     from almondshift.policy import topology as topologies
 
-IN_FLIGHT = 64.0
+MAX_IN_FLIGHT = 64.0
 
 
 class PlainChooser:
-    """Keeps what is in flight on plain endpoints and chooses one."""
+    """Tracks requests in flight on plain endpoints and chooses among them."""
 
     def __init__(
         self,
@@ -44,52 +46,52 @@
     def choose(
         self, service: str, avoid: frozenset[str] = frozenset()
     ) -> str | None:
-        """Returns an endpoint with room, or None."""
+        """Returns an endpoint with spare capacity, or None."""
         names = [
             name
             for name in self.topology.plain.get(service, {})
-            if name not in avoid and self._has_room(name, service)
+            if name not in avoid and self._has_capacity(name, service)
         ]
         if not names:
             return None
-        drawn = self.rng.sample(names, min(len(names), pools.DRAWN))
-        return min(drawn, key=self._busy)
+        sampled = self.rng.sample(names, min(len(names), pools.SAMPLE_SIZE))
+        return min(sampled, key=self._load)
 
     def started(self, name: str) -> None:
-        """Notes a request sent to an endpoint."""
+        """Records that a request was sent to an endpoint."""
         self.own[name] += 1
 
     def ended(self, name: str) -> None:
-        """Notes that it ended."""
+        """Records that a request on an endpoint ended."""
         self.own[name] -= 1
         if self.own[name] <= 0:
             del self.own[name]
 
-    def peer_in_flight(
+    def set_peer_in_flight(
         self, node: str, before: dict[str, int], now: dict[str, int]
     ) -> None:
-        """Takes what a peer has in flight in place of what it had."""
+        """Replaces a peer's previous in-flight counts with the current ones."""
         for names in self.topology.plain.values():
             for name in names.keys() & before.keys():
                 self.peers.get(name, {}).pop(node, None)
             for name in names.keys() & now.keys():
                 self.peers.setdefault(name, {})[node] = now[name]
 
-    def _busy(self, name: str) -> float:
+    def _load(self, name: str) -> float:
         load = self.own[name] + sum(self.peers.get(name, {}).values())
         return (load + 1) * self.health.slowness(name)
 
-    def _has_room(self, name: str, service: str) -> bool:
-        self.health.place(name, ("plain", service))
+    def _has_capacity(self, name: str, service: str) -> bool:
+        self.health.set_group(name, ("plain", service))
         state = self.health.state(name)
-        if state is ejection.State.OUT:
+        if state is ejection.State.EJECTED:
             return False
         own = self.own[name]
         if state is ejection.State.TRIAL:
-            return own < ejection.TRIAL_REQUESTS
+            return own < ejection.MAX_TRIAL_REQUESTS
         users = self.peers.get(name, {})
         allowed = shares.next_share(
-            IN_FLIGHT,
+            MAX_IN_FLIGHT,
             own,
             own + sum(users.values()),
             1 + len(users),
--- a/src/almondshift/policy/pools.py
+++ b/src/almondshift/policy/pools.py
@@ -1,11 +1,13 @@
-"""Sets of endpoints with room, from which a few are drawn at random.
-
-Load pattern: choice among hundreds of endpoints for each request. Looking
-at each one costs more than the request; taking the best of all makes every
-node with the same late report take the same one. Grounds: the better of two
-random ones is exponentially less loaded at worst than one random one
-(Mitzenmacher, 2001); three give mixed accelerators a better chance of a fast
-one. Adding, removing and drawing take constant time.
+"""Sets of endpoints with spare capacity, for random sampling.
+
+Load pattern: a choice among hundreds of endpoints for each request. Examining
+all of them costs more than the request, and choosing the best of all makes
+every node with the same outdated report choose the same one.
+
+Rationale: power of two choices. The better of two random endpoints has an
+exponentially lower maximum load than a single random one (Mitzenmacher, 2001);
+three give mixed accelerators a better chance of a fast one. Adding, removing
+and sampling take constant time.
 """
 
 from __future__ import annotations
@@ -15,11 +17,11 @@
 if TYPE_CHECKING:
     import random
 
-DRAWN = 3
+SAMPLE_SIZE = 3
 
 
 class Pool:
-    """Names that can be added, removed and drawn in constant time."""
+    """Set of names with constant-time addition, removal and sampling."""
 
     def __init__(self) -> None:
         self.names: list[str] = []
@@ -32,7 +34,7 @@
         return name in self._index
 
     def add(self, name: str) -> bool:
-        """Adds a name; returns whether it was not there."""
+        """Adds a name; returns whether it is new."""
         if name in self._index:
             return False
         self._index[name] = len(self.names)
@@ -40,7 +42,7 @@
         return True
 
     def discard(self, name: str) -> None:
-        """Removes a name if it is there."""
+        """Removes a name if present."""
         index = self._index.pop(name, None)
         if index is None:
             return
@@ -49,8 +51,10 @@
             self.names[index] = last
             self._index[last] = index
 
-    def draw(self, rng: random.Random, most: int = DRAWN) -> list[str]:
-        """Returns up to ``most`` different names."""
-        if len(self.names) <= most:
+    def sample(
+        self, rng: random.Random, max_count: int = SAMPLE_SIZE
+    ) -> list[str]:
+        """Returns up to ``max_count`` different names."""
+        if len(self.names) <= max_count:
             return list(self.names)
-        return rng.sample(self.names, most)
+        return rng.sample(self.names, max_count)
--- a/src/almondshift/policy/recovery.py
+++ b/src/almondshift/policy/recovery.py
@@ -1,20 +1,24 @@
-"""Replacement of a failed stage of a request that is running.
-
-Load pattern: stages that die in the middle of requests, singly or a whole
-availability zone at once. If a request were begun anew, its caller would
-wait twice and the lost work would come on top of the load; if it were given
-up, a change of hardware would have cost the caller its answer.
-
-Grounds: a failed stage is replaced at once when another engine has its
-layers, if need be one without room, because the request has already cost its
-work. When there is none, it waits for one for at most five seconds or half
-of its remaining time, whichever is less (an engine that takes over a range
-loads it in seconds), and is then refused. An endpoint that failed is not
-asked again by the same request, unless there is no other and it has reported
-since: a pause of all replicas of a range (a cut link, a frozen host) would
-else fail every request on them though all are back a second later. One that
-only refused for being full is asked once something has changed. Replacing a
-stage goes on with the same run, so it is done for non-idempotent requests too.
+"""Replacement of failed stages of running requests.
+
+Load pattern: stages fail in the middle of requests, one at a time or an entire
+availability zone at once. If a request were restarted, its caller would wait
+twice and the lost work would add to the load. If it were abandoned, a change
+of hardware would cost the caller its answer.
+
+Rationale: a failed stage is replaced at once if another engine holds its
+layers, even one without spare capacity, because the request has already cost
+its work. If there is none, the request waits for one for at most five seconds
+or half of its remaining time, whichever is less, and is then refused. An
+engine that takes over a range loads it within seconds.
+
+The same request doesn't use a failed endpoint again, unless there is no other
+and the endpoint has reported since. Without this exception, a pause of all
+replicas of a range (a cut link, a frozen host) would fail every request on
+them although all are back a second later. An endpoint that only refused
+because it was full is tried again once something has changed.
+
+Replacing a stage continues the same run, so it is also done for requests that
+aren't idempotent.
 """
 
 from __future__ import annotations
@@ -31,36 +35,37 @@
     from almondshift.policy import ejection
     from almondshift.policy import lanes
 
-WAIT_S = 5.0
-WAIT_SHARE = 0.5
+MAX_WAIT_S = 5.0
+MAX_WAIT_SHARE = 0.5
 
 
 @dataclasses.dataclass(slots=True)
-class _Waiting:
-    """A request that waits for a replacement of a failed stage.
+class _PendingRecovery:
+    """A request that waits for the replacement of a failed stage.
 
     Attributes:
-        tried: State of topology and load at which there was none, and the
-            failed endpoints that had come back by then.
+        attempted_state: Generations of topology and capacity at the last
+            unsuccessful attempt, and the failed endpoints that had reported
+            again by then.
     """
 
     event: events.StageFailed
-    flight: lanes.Flight
+    running: lanes.RunningRequest
     until: float
-    tried: tuple[int, int, frozenset[str]]
+    attempted_state: tuple[int, int, frozenset[str]]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Recovered:
-    """What became of requests that waited.
+class RecoveryResult:
+    """Outcome of an attempt to recover waiting requests.
 
     Attributes:
         replaced: Replacements that were found.
-        given_up: Requests that have waited for as long as they may.
+        expired: Requests that have reached their maximum wait.
     """
 
     replaced: list[actions.Replace]
-    given_up: list[str]
+    expired: list[str]
 
 
 class Recovery:
@@ -75,91 +80,103 @@
         self.topology = topology
         self.chooser = chooser
         self.health = health
-        self._waiting: dict[str, _Waiting] = {}
+        self._pending: dict[str, _PendingRecovery] = {}
 
-    def note(self, event: events.StageFailed) -> None:
-        """Takes what a failure says of its endpoint."""
+    def record_failure(self, event: events.StageFailed) -> None:
+        """Updates the state of the endpoint that failed."""
         name = event.chain.stages[event.index].endpoint
         reasons = events.FailureReason
         if event.reason is reasons.LEAVING:
-            self.topology.leave(name)
+            self.topology.mark_leaving(name)
         elif event.reason is reasons.REFUSED:
-            self.chooser.full(name)
+            self.chooser.mark_full(name)
         else:
-            certain = event.reason is reasons.UNREACHABLE
-            if self.health.failed(name, event.at, certain=certain):
+            unreachable = event.reason is reasons.UNREACHABLE
+            if self.health.record_failure(
+                name, event.at, unreachable=unreachable
+            ):
                 self.chooser.refresh(name)
         self.chooser.sync()
 
     def start(
-        self, event: events.StageFailed, flight: lanes.Flight
+        self, event: events.StageFailed, running: lanes.RunningRequest
     ) -> actions.Replace | None:
-        """Replaces a failed stage now, or lets its request wait for that."""
+        """Replaces a failed stage now, or queues it for a later attempt."""
         failed = event.chain.stages[event.index].endpoint
-        full = event.reason is events.FailureReason.REFUSED
-        if not full:
-            flight.failed.add(failed)
-        avoid = frozenset(flight.failed | {failed})
-        replaced = self._replace(event, flight, event.at, avoid)
+        refused_as_full = event.reason is events.FailureReason.REFUSED
+        if not refused_as_full:
+            running.failed_endpoints.add(failed)
+        avoid = frozenset(running.failed_endpoints | {failed})
+        replaced = self._replace(event, running, event.at, avoid)
         if replaced is None:
-            left = flight.request.arrival.deadline - event.at
-            until = event.at + min(WAIT_S, left * WAIT_SHARE)
-            tried = self._state(frozenset())
-            waiting = _Waiting(event, flight, until, tried)
-            self._waiting[event.request_id] = waiting
+            remaining_s = running.request.arrival.deadline - event.at
+            until = event.at + min(MAX_WAIT_S, remaining_s * MAX_WAIT_SHARE)
+            attempted_state = self._current_state(frozenset())
+            pending = _PendingRecovery(event, running, until, attempted_state)
+            self._pending[event.request_id] = pending
         return replaced
 
     def forget(self, request_id: str) -> None:
-        """Forgets a request that ended."""
-        self._waiting.pop(request_id, None)
-
-    def go_on(self, at: float) -> Recovered:
-        """Tries those that wait again if something has changed."""
-        recovered = Recovered([], [])
-        for request_id, waiting in list(self._waiting.items()):
-            replaced = self._try_again(waiting, at)
+        """Removes a request that has ended."""
+        self._pending.pop(request_id, None)
+
+    def retry_pending(self, at: float) -> RecoveryResult:
+        """Retries waiting recoveries if something has changed."""
+        result = RecoveryResult([], [])
+        for request_id, pending in list(self._pending.items()):
+            replaced = self._retry(pending, at)
             if replaced is not None:
-                del self._waiting[request_id]
-                recovered.replaced.append(replaced)
-            elif at >= waiting.until:
-                del self._waiting[request_id]
-                recovered.given_up.append(request_id)
-        return recovered
-
-    def _try_again(
-        self, waiting: _Waiting, at: float
+                del self._pending[request_id]
+                result.replaced.append(replaced)
+            elif at >= pending.until:
+                del self._pending[request_id]
+                result.expired.append(request_id)
+        return result
+
+    def _retry(
+        self, pending: _PendingRecovery, at: float
     ) -> actions.Replace | None:
-        back = self._back(waiting)
-        if waiting.tried == self._state(back):
+        reporting = self._reporting_again(pending)
+        if pending.attempted_state == self._current_state(reporting):
             return None
-        # An engine that refused for being full is asked again only when it
-        # has room; else each change elsewhere would cost a repeat.
-        force = waiting.event.reason is not events.FailureReason.REFUSED
-        flight = waiting.flight
+        # An engine that refused because it was full is only tried again when
+        # it has capacity. Otherwise each change elsewhere would cost a retry.
+        force = pending.event.reason is not events.FailureReason.REFUSED
+        running = pending.running
         replaced = None
-        for avoid in (frozenset(flight.failed), flight.failed - back):
+        for avoid in (
+            frozenset(running.failed_endpoints),
+            running.failed_endpoints - reporting,
+        ):
             replaced = replaced or self._replace(
-                waiting.event, flight, at, frozenset(avoid), force=force
+                pending.event, running, at, frozenset(avoid), force=force
             )
-        waiting.tried = self._state(back)
+        pending.attempted_state = self._current_state(reporting)
         return replaced
 
-    def _back(self, waiting: _Waiting) -> frozenset[str]:
-        """Returns failed endpoints that have reported since the failure."""
-        known = self.topology.endpoints
+    def _reporting_again(self, pending: _PendingRecovery) -> frozenset[str]:
+        """Returns failed endpoints that have reported since their failure."""
+        endpoints = self.topology.endpoints
         return frozenset(
             name
-            for name in waiting.flight.failed
-            if name in known and known[name].reported_at > waiting.event.at
+            for name in pending.running.failed_endpoints
+            if name in endpoints
+            and endpoints[name].reported_at > pending.event.at
         )
 
-    def _state(self, back: frozenset[str]) -> tuple[int, int, frozenset[str]]:
-        return (self.topology.generation, self.chooser.openings, back)
+    def _current_state(
+        self, reporting: frozenset[str]
+    ) -> tuple[int, int, frozenset[str]]:
+        return (
+            self.topology.generation,
+            self.chooser.capacity_generation,
+            reporting,
+        )
 
     def _replace(
         self,
         event: events.StageFailed,
-        flight: lanes.Flight,
+        running: lanes.RunningRequest,
         at: float,
         avoid: frozenset[str],
         *,
@@ -167,7 +184,7 @@
     ) -> actions.Replace | None:
         chain = event.chain
         job = dataclasses.replace(
-            flight.request.job, prompt_tokens=event.positions, prefixes=()
+            running.request.job, prompt_tokens=event.positions, prefixes=()
         )
         choice = self.chooser.choose(
             topologies.Target(chain.model, chain.version, chain.adapter),
@@ -179,9 +196,9 @@
         )
         if choice is None:
             return None
-        self.chooser.started(choice.stages, flight.request.job, at)
-        if flight.first_at is not None:
-            self.chooser.prompted(choice.stages, flight.request.job)
-        flight.stages += choice.stages
-        flight.chain = chain.replace(event.index, choice.stages)
+        self.chooser.started(choice.stages, running.request.job, at)
+        if running.first_token_at is not None:
+            self.chooser.prefill_finished(choice.stages, running.request.job)
+        running.stages += choice.stages
+        running.chain = chain.replace(event.index, choice.stages)
         return actions.Replace(event.request_id, event.index, choice.stages)
--- a/src/almondshift/policy/retry_after.py
+++ b/src/almondshift/policy/retry_after.py
@@ -1,13 +1,14 @@
-"""When a refused caller is told to come back.
-
-Load pattern: an overload that ends. If all who were refused come back after
-the same fixed time, they arrive as one burst and are refused again; if they
-come back too soon, they keep the overload alive. Grounds: the work that is
-waiting and that was lately refused takes ``cost / drain rate`` to serve, so
-that is how long the spread of their return must be; the factor of a half to
-one and a half spreads them evenly over it. The floor covers a drain rate
-that is not known yet, the ceiling keeps callers from waiting long after the
-end of an overload: within ten seconds at the most, all have come back.
+"""Retry-After times for refused callers.
+
+Load pattern: an overload that ends. If all refused callers retry after the
+same fixed time, they arrive as one burst and are refused again. If they retry
+too soon, they prolong the overload.
+
+Rationale: serving the waiting and recently refused work takes ``cost / drain
+rate``, so the retries must be spread over that time. A random factor between a
+half and one and a half spreads them evenly. The minimum covers a drain rate
+that is not known yet. The maximum keeps callers from waiting long after the
+end of an overload: all retry within ten seconds.
 """
 
 from __future__ import annotations
@@ -18,43 +19,43 @@
 if TYPE_CHECKING:
     import random
 
-FLOOR_S = 0.25
-CEILING_S = 10.0
-MEMORY_S = 5.0
-"""Time constant with which refused work is forgotten."""
+MIN_DELAY_S = 0.25
+MAX_DELAY_S = 10.0
+TIME_CONSTANT_S = 5.0
+"""Time constant of the decay of refused work."""
 
 
 class RetryAfter:
-    """Gives times to come back, from the drain rate.
+    """Computes Retry-After times from the drain rate.
 
     Attributes:
-        refused: Cost refused lately, forgotten exponentially.
+        refused_cost: Recently refused cost, with exponential decay.
     """
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
-        self.refused = 0.0
+        self.refused_cost = 0.0
         self._at = 0.0
 
     def after_refusal(
         self, at: float, cost: float, waiting: float, drain: float
     ) -> float:
-        """Notes a refusal and returns its Retry-After in seconds.
+        """Records a refusal and returns its Retry-After in seconds.
 
         Args:
-            at: Now.
+            at: Current time.
             cost: Cost of the refused request.
-            waiting: Cost of what waits before it.
-            drain: Cost served a second; 0 if unknown.
+            waiting: Cost of the work waiting ahead of it.
+            drain: Cost served per second; 0 if unknown.
         """
-        self.refused *= math.exp(-(at - self._at) / MEMORY_S)
-        self.refused += cost
+        self.refused_cost *= math.exp(-(at - self._at) / TIME_CONSTANT_S)
+        self.refused_cost += cost
         self._at = at
         if drain <= 0.0:
             return self.jittered(1.0)
-        return self.jittered((waiting + self.refused) / drain)
+        return self.jittered((waiting + self.refused_cost) / drain)
 
     def jittered(self, seconds: float) -> float:
-        """Returns a time within bounds, spread by a half each way."""
-        bounded = min(max(seconds, FLOOR_S), CEILING_S / 1.5)
-        return max(FLOOR_S, bounded * self.rng.uniform(0.5, 1.5))
+        """Returns a bounded time, with a jitter of up to a half each way."""
+        bounded = min(max(seconds, MIN_DELAY_S), MAX_DELAY_S / 1.5)
+        return max(MIN_DELAY_S, bounded * self.rng.uniform(0.5, 1.5))
--- a/src/almondshift/policy/retry_budget.py
+++ b/src/almondshift/policy/retry_budget.py
@@ -1,56 +1,57 @@
-"""Repeated work as a bounded share of fresh work.
-
-Load pattern: an overload or a fault that makes stages fail. If every failed
-stage is replayed without end, repeats grow with the failures and take the
-capacity that would have served them: the fault ends and the overload stays.
-Grounds: the first repeat of each request is free, because losing an
-endpoint or a whole availability zone must not cost a caller its work, and
-it can at most double the work of the requests that were in flight. Further
-repeats draw on a tenth of the fresh cost, a figure under which the load
-stays below 1.1 of what was asked. The floor lets a quiet node repeat, the
-ceiling of a minute's worth keeps quiet hours from saving up for a storm.
+"""Retry budget: limits retried work to a share of new work.
+
+Load pattern: an overload or a fault makes stages fail. If every failed stage
+is replayed without a limit, retries grow with the failures and take the
+capacity that they need themselves: the fault ends, but the overload stays.
+
+Rationale: the first retry of each request is free, because losing an endpoint
+or an entire availability zone must not cost a caller its work, and it at most
+doubles the work of the requests that were in flight. Further retries use a
+budget of a tenth of the new cost, which keeps the load below 1.1 times the
+requested load. The minimum credit lets a quiet node retry. The credit decays
+over a minute, so that quiet hours don't accumulate credit for a retry storm.
 """
 
 from __future__ import annotations
 
 import math
 
-SHARE = 0.1
-FLOOR = 512.0
-MEMORY_S = 60.0
-FREE_REPEATS = 1
-MAX_REPEATS = 8
-"""Repeats of one request; a request that fails more often is at fault."""
+RETRY_SHARE = 0.1
+MIN_CREDIT = 512.0
+TIME_CONSTANT_S = 60.0
+FREE_RETRIES = 1
+MAX_RETRIES = 8
+"""Retries of one request; one that fails more often is itself at fault."""
 
 
 class RetryBudget:
-    """Decides whether work may be repeated; costs are in tokens."""
+    """Decides whether work may be retried; costs are in tokens."""
 
-    def __init__(self, share: float = SHARE) -> None:
+    def __init__(self, share: float = RETRY_SHARE) -> None:
         self.share = share
-        self._credit = FLOOR
+        self._credit = MIN_CREDIT
         self._at = 0.0
 
     def earn(self, at: float, cost: float) -> None:
-        """Notes fresh work."""
-        kept = math.exp(-max(0.0, at - self._at) / MEMORY_S)
-        self._credit = self._credit * kept + FLOOR * (1.0 - kept)
+        """Adds credit for new work."""
+        retained = math.exp(-max(0.0, at - self._at) / TIME_CONSTANT_S)
+        self._credit = self._credit * retained + MIN_CREDIT * (1.0 - retained)
         self._credit += cost * self.share
         self._at = at
 
-    def spend(self, repeats: int, cost: float) -> bool:
-        """Takes a repeat from the budget.
+    def spend(self, retries: int, cost: float) -> bool:
+        """Withdraws a retry from the budget.
 
         Args:
-            repeats: How often this request was repeated before.
-            cost: What the repeat costs.
+            retries: Number of previous retries of the request.
+            cost: Cost of the retry.
 
         Returns:
-            Whether it may be repeated.
+            Whether the retry is allowed.
         """
-        if repeats < FREE_REPEATS:
+        if retries < FREE_RETRIES:
             return True
-        if repeats >= MAX_REPEATS or self._credit < cost:
+        if retries >= MAX_RETRIES or self._credit < cost:
             return False
         self._credit -= cost
         return True
--- a/src/almondshift/policy/router.py
+++ b/src/almondshift/policy/router.py
@@ -1,10 +1,10 @@
-"""The router: one facade over the modules that decide under load.
+"""Request router: the facade over the modules that make load decisions.
 
-It is a state machine without input or output. Each event is taken over into
-the module that it concerns; then what waits and may now go is dispatched,
-and what has waited for as long as it may is refused. The cost of an event
-grows with what it changes: a tick that finds nothing due looks at the heads
-of two heaps and at the lanes that have requests waiting.
+The router is a state machine that performs no I/O. Each event is first applied
+to the modules that it concerns. Waiting requests that can now run are then
+dispatched, and requests that have reached their maximum wait are refused. The
+cost of an event is proportional to what it changes: a tick with nothing due
+checks the heads of two heaps and the lanes that have waiting requests.
 """
 
 from __future__ import annotations
@@ -38,9 +38,9 @@
     import random
 
 NOT_READY_RETRY_S = 1.0
-"""Mean Retry-After while layers are loaded, which takes seconds."""
-PROBE_USUAL_S = 0.02
-"""Least time that counts as usual for a probe, for links and scheduling."""
+"""Mean Retry-After while layers are loading, which takes seconds."""
+EXPECTED_PROBE_S = 0.02
+"""Expected probe time, with allowance for links and scheduling."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -49,13 +49,13 @@
 
     Attributes:
         zone: Availability zone of the node.
-        long_tokens: Cost in tokens from which a request is long.
-        retry_share: Repeated work as a share of fresh work.
+        long_tokens: Minimum cost in tokens of a long request.
+        retry_share: Retried work as a share of new work.
     """
 
     zone: str = ""
     long_tokens: int = long_jobs.LONG_TOKENS
-    retry_share: float = retry_budget.SHARE
+    retry_share: float = retry_budget.RETRY_SHARE
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -64,7 +64,7 @@
 
 
 class LoadRouter(routers.Router):
-    """The router that nodes run."""
+    """The production router."""
 
     def __init__(
         self, rng: random.Random, node: str, settings: RouterSettings
@@ -89,34 +89,34 @@
         )
         self.limits = account_limits.AccountLimits()
         self.budget = retry_budget.RetryBudget(settings.retry_share)
-        self.jitter = retry_after.RetryAfter(rng)
+        self.retry_delays = retry_after.RetryAfter(rng)
         self.lanes: dict[lanes_module.LaneKey, lanes_module.Lane] = {}
         self.waiting: dict[str, lanes_module.Request] = {}
-        self.flights: dict[str, lanes_module.Flight] = {}
+        self.running: dict[str, lanes_module.RunningRequest] = {}
         self._expiries: list[tuple[float, int, lanes_module.Request]] = []
-        self._order = 0
+        self._sequence = 0
         self._peers: dict[str, _Peer] = {}
         self._handlers = self._make_handlers()
 
     def handle(self, event: events.Event) -> list[actions.Action]:
-        """Takes one event; see the base class."""
+        """Handles one event; see the base class."""
         decided = self._handlers[type(event)](event)
         self.chooser.sync()
-        decided += self._recover_waiting(event.at)
+        decided += self._process_recoveries(event.at)
         decided += self._dispatch_waiting(event.at)
         decided += self._expire(event.at)
         return decided
 
     def service_ready(self, service: str) -> bool:
-        """Returns whether a service and all it depends on can be served."""
+        """Returns whether a service and all its dependencies can be served."""
         return self.topology.service_ready(service)
 
     def account_tokens_per_s(self, at: float) -> dict[str, float]:
-        """Returns what accounts use through this node, for its peers."""
-        return self.limits.uses(at)
+        """Returns the token rate per account on this node, for its peers."""
+        return self.limits.usage_by_account(at)
 
     def in_flight(self) -> dict[str, int]:
-        """Returns requests in flight by endpoint, for this node's peers."""
+        """Returns requests in flight per endpoint, for this node's peers."""
         counts = {
             name: engine.load.own
             for name, engine in self.chooser.engines.items()
@@ -135,86 +135,98 @@
             events.Abandoned: self._abandon,
             events.StageFailed: self._stage_failed,
             events.CallTimed: self._call_timed,
-            events.EndpointSeen: self._see,
-            events.EndpointGone: self._forget,
-            events.EndpointLeaving: self._leave,
-            events.LoadReported: self._report,
+            events.EndpointSeen: self._endpoint_seen,
+            events.EndpointGone: self._endpoint_gone,
+            events.EndpointLeaving: self._endpoint_leaving,
+            events.LoadReported: self._load_reported,
             events.CacheChanged: self._cache_changed,
             events.PeerLoad: self._peer_load,
             events.PeerGone: self._peer_gone,
-            events.FleetChanged: self._configure,
+            events.FleetChanged: self._fleet_changed,
             events.ProbeAnswered: self._probe_answered,
             events.Tick: self._tick,
         }
 
-    def _see(self, event: events.EndpointSeen) -> list[actions.Action]:
-        self.topology.see(event.vm, event.description)
+    def _endpoint_seen(
+        self, event: events.EndpointSeen
+    ) -> list[actions.Action]:
+        self.topology.update_vm(event.vm, event.description)
         return []
 
-    def _forget(self, event: events.EndpointGone) -> list[actions.Action]:
+    def _endpoint_gone(
+        self, event: events.EndpointGone
+    ) -> list[actions.Action]:
         self.topology.remove(event.endpoint)
         self.health.forget(event.endpoint)
         return []
 
-    def _leave(self, event: events.EndpointLeaving) -> list[actions.Action]:
-        self.topology.leave(event.endpoint)
+    def _endpoint_leaving(
+        self, event: events.EndpointLeaving
+    ) -> list[actions.Action]:
+        self.topology.mark_leaving(event.endpoint)
         return []
 
-    def _report(self, event: events.LoadReported) -> list[actions.Action]:
+    def _load_reported(
+        self, event: events.LoadReported
+    ) -> list[actions.Action]:
         if self.topology.report(event.report, event.at):
             self.chooser.sync()
-            self.chooser.reported(event.report, event.at)
+            self.chooser.apply_report(event.report, event.at)
         return []
 
     def _cache_changed(
         self, event: events.CacheChanged
     ) -> list[actions.Action]:
-        self.hints.take(event.endpoint, event.events)
+        self.hints.apply_events(event.endpoint, event.events)
         return []
 
-    def _configure(self, event: events.FleetChanged) -> list[actions.Action]:
+    def _fleet_changed(
+        self, event: events.FleetChanged
+    ) -> list[actions.Action]:
         self.topology.configure(event.fleet)
-        self.chooser.configured()
+        self.chooser.apply_config()
         return []
 
     def _peer_load(self, event: events.PeerLoad) -> list[actions.Action]:
         if event.node != self.node:
-            self._set_peer(event.node, event.in_flight)
-            self.limits.peer_used(event.node, event.account_tokens_per_s)
+            self._update_peer(event.node, event.in_flight)
+            self.limits.set_peer_usage(event.node, event.account_tokens_per_s)
         return []
 
     def _peer_gone(self, event: events.PeerGone) -> list[actions.Action]:
-        self._set_peer(event.node, {})
+        self._update_peer(event.node, {})
         self._peers.pop(event.node, None)
-        self.limits.peer_gone(event.node)
-        self._count_peers()
+        self.limits.forget_peer(event.node)
+        self._update_peer_count()
         return []
 
-    def _set_peer(self, node: str, in_flight: dict[str, int]) -> None:
+    def _update_peer(self, node: str, in_flight: dict[str, int]) -> None:
         before = self._peers.get(node, _Peer({})).in_flight
-        self.chooser.peer_in_flight(node, before, in_flight)
-        self.plain.peer_in_flight(node, before, in_flight)
+        self.chooser.set_peer_in_flight(node, before, in_flight)
+        self.plain.set_peer_in_flight(node, before, in_flight)
         self.chooser.active_peers += bool(in_flight) - bool(before)
         self._peers[node] = _Peer(in_flight)
-        self._count_peers()
+        self._update_peer_count()
 
-    def _count_peers(self) -> None:
+    def _update_peer_count(self) -> None:
         self.chooser.known_peers = len(self._peers)
         self.plain.known_peers = len(self._peers)
 
     def _call_timed(self, event: events.CallTimed) -> list[actions.Action]:
-        usual = self.chooser.usual_call_s(
+        expected_s = self.chooser.expected_call_s(
             event.endpoint, event.tokens, event.layers
         )
-        if self.health.timed(event.endpoint, event.at, event.seconds, usual):
+        if self.health.record_call(
+            event.endpoint, event.at, event.seconds, expected_s
+        ):
             self.chooser.refresh(event.endpoint)
         return []
 
     def _probe_answered(
         self, event: events.ProbeAnswered
     ) -> list[actions.Action]:
-        ratio = event.seconds / PROBE_USUAL_S
-        if self.health.probed(event.endpoint, event.at, event.ok, ratio):
+        ratio = event.seconds / EXPECTED_PROBE_S
+        if self.health.record_probe(event.endpoint, event.at, event.ok, ratio):
             self.chooser.refresh(event.endpoint)
         return []
 
@@ -224,10 +236,10 @@
         ]
 
     def _arrive(self, event: events.Arrival) -> list[actions.Action]:
-        flight = self.flights.get(event.request_id)
-        if flight is not None:
-            return self._repeat(event, flight)
-        refusal = self._refuse_outright(event)
+        running = self.running.get(event.request_id)
+        if running is not None:
+            return self._retry_plain(event, running)
+        refusal = self._immediate_refusal(event)
         if refusal is not None:
             return [refusal]
         request = self._make_request(event)
@@ -236,7 +248,9 @@
             return [limited]
         return self._enqueue(request)
 
-    def _refuse_outright(self, event: events.Arrival) -> actions.Refuse | None:
+    def _immediate_refusal(
+        self, event: events.Arrival
+    ) -> actions.Refuse | None:
         reasons = actions.RefusalReason
         fleet = self.topology.fleet
         if fleet is None or event.service not in fleet.services:
@@ -253,7 +267,7 @@
         return actions.Refuse(
             request_id,
             actions.RefusalReason.SERVICE_NOT_READY,
-            self.jitter.jittered(NOT_READY_RETRY_S),
+            self.retry_delays.jittered(NOT_READY_RETRY_S),
         )
 
     def _make_request(self, event: events.Arrival) -> lanes_module.Request:
@@ -296,7 +310,7 @@
         return actions.Refuse(
             event.request_id,
             actions.RefusalReason.ACCOUNT_LIMITED,
-            self.jitter.jittered(wait),
+            self.retry_delays.jittered(wait),
         )
 
     def _enqueue(self, request: lanes_module.Request) -> list[actions.Action]:
@@ -311,7 +325,7 @@
             request.job.long,
         )
         if not request.job.long:
-            self.long_jobs.note_short(event.at)
+            self.long_jobs.record_short(event.at)
         lane.queue.push(request.entry, weight)
         self.waiting[event.request_id] = request
         decided = self._dispatch_lane(lane, event.at)
@@ -322,7 +336,7 @@
     def _admit(
         self, request: lanes_module.Request, wait: float
     ) -> list[actions.Action]:
-        """Lets a request wait, or refuses it now."""
+        """Admits a request to the queue, or refuses it now."""
         event, lane = request.arrival, request.lane
         allowed = admission.allowed_wait_s(
             event.priority,
@@ -330,23 +344,23 @@
             lane.run_s(request.job),
         )
         if not admission.may_wait(wait, allowed):
-            return [self._give_up(request, event.at)]
-        lane.drain.note_waiting(event.at, True)
+            return [self._refuse_waiting(request, event.at)]
+        lane.drain.set_waiting(event.at, True)
         request.expires_at = event.at + allowed
-        self._order += 1
+        self._sequence += 1
         heapq.heappush(
-            self._expiries, (request.expires_at, self._order, request)
+            self._expiries, (request.expires_at, self._sequence, request)
         )
         return []
 
-    def _give_up(
+    def _refuse_waiting(
         self, request: lanes_module.Request, at: float
     ) -> actions.Refuse:
         self._withdraw(request)
         return actions.Refuse(
             request.arrival.request_id,
             actions.RefusalReason.OVERLOADED,
-            request.lane.refusal_s(request, at),
+            request.lane.record_refusal(request, at),
         )
 
     def _withdraw(self, request: lanes_module.Request) -> None:
@@ -360,7 +374,7 @@
         while self._expiries and self._expiries[0][0] <= at:
             _, _, request = heapq.heappop(self._expiries)
             if request.entry is not None and request.entry.waiting:
-                decided.append(self._give_up(request, at))
+                decided.append(self._refuse_waiting(request, at))
         return decided
 
     def _dispatch_waiting(self, at: float) -> list[actions.Action]:
@@ -368,8 +382,8 @@
             return []
         waiting = [lane for lane in self.lanes.values() if len(lane.queue)]
         if len(waiting) > 1:
-            # Lanes may share engines; in a fixed order the first would
-            # take each slot that comes free.
+            # Lanes may share engines. In a fixed order, the first lane would
+            # take every slot that becomes free.
             self.rng.shuffle(waiting)
         decided: list[actions.Action] = []
         for lane in waiting:
@@ -380,8 +394,8 @@
         self, lane: lanes_module.Lane, at: float
     ) -> list[actions.Action]:
         decided: list[actions.Action] = []
-        while not lane.is_blocked(self.chooser.openings):
-            allow_long = lane.may_try_long(self.chooser.openings, at)
+        while not lane.is_blocked(self.chooser.capacity_generation):
+            allow_long = lane.may_try_long(self.chooser.capacity_generation, at)
             entry = lane.queue.peek(allow_long=allow_long)
             if entry is None:
                 break
@@ -389,10 +403,10 @@
             if action is not None:
                 decided.append(action)
             elif entry.long:
-                lane.block_long(self.chooser.openings, at)
+                lane.block_long(self.chooser.capacity_generation, at)
             else:
-                lane.blocked_at = self.chooser.openings
-        lane.drain.note_waiting(at, len(lane.queue) > 0)
+                lane.blocked_generation = self.chooser.capacity_generation
+        lane.drain.set_waiting(at, len(lane.queue) > 0)
         return decided
 
     def _start(
@@ -401,7 +415,7 @@
         """Dispatches a waiting request, or refuses it if nothing can run it.
 
         Returns:
-            None if it has to go on waiting for room.
+            None if the request has to keep waiting for capacity.
         """
         if not self.topology.service_ready(request.service.name):
             self._withdraw(request)
@@ -416,10 +430,10 @@
         name = self.plain.choose(request.service.name)
         if name is None:
             return None
-        flight = lanes_module.Flight(request, at, endpoint=name)
+        running = lanes_module.RunningRequest(request, at, endpoint=name)
         self.plain.started(name)
         seconds = max(request.lane.run_s(request.job), 1e-3)
-        self._begin(flight, seconds)
+        self._record_dispatch(running, seconds)
         return actions.DispatchPlain(request.arrival.request_id, name)
 
     def _start_chain(
@@ -428,145 +442,151 @@
         target = self.topology.target_of(request.service)
         if target is None:
             return None
-        whole = layers.LayerRange(0, self.topology.layer_count(target.model))
-        choice = self.chooser.choose(target, whole, request.job, at)
+        all_layers = layers.LayerRange(
+            0, self.topology.layer_count(target.model)
+        )
+        choice = self.chooser.choose(target, all_layers, request.job, at)
         if choice is None:
             return None
         chain = chains.Chain(
             target.model, target.version, target.adapter, choice.stages
         )
-        flight = lanes_module.Flight(
+        running = lanes_module.RunningRequest(
             request, at, chain=chain, stages=choice.stages
         )
         self.chooser.started(choice.stages, request.job, at)
-        self._begin(flight, choice.seconds)
+        self._record_dispatch(running, choice.seconds)
         return actions.Dispatch(request.arrival.request_id, chain)
 
-    def _begin(self, flight: lanes_module.Flight, seconds: float) -> None:
-        request = flight.request
+    def _record_dispatch(
+        self, running: lanes_module.RunningRequest, seconds: float
+    ) -> None:
+        request = running.request
         request_id = request.arrival.request_id
         if request.entry is not None:
-            request.lane.queue.take(request.entry)
+            request.lane.queue.dequeue(request.entry)
         self.waiting.pop(request_id, None)
-        self.flights[request_id] = flight
-        request.lane.started(flight, seconds)
-        self.budget.earn(flight.started_at, request.cost)
+        self.running[request_id] = running
+        request.lane.started(running, seconds)
+        self.budget.earn(running.started_at, request.cost)
 
     def _progress(self, event: events.Progress) -> list[actions.Action]:
-        flight = self.flights.get(event.request_id)
-        if flight is not None:
-            if flight.first_at is None:
-                self.chooser.prompted(flight.stages, flight.request.job)
-            flight.request.lane.progressed(flight, event.at, event.tokens)
+        running = self.running.get(event.request_id)
+        if running is not None:
+            if running.first_token_at is None:
+                self.chooser.prefill_finished(
+                    running.stages, running.request.job
+                )
+            running.request.lane.progressed(running, event.at, event.tokens)
         return []
 
     def _complete(self, event: events.Completed) -> list[actions.Action]:
-        self._end(event.request_id, event.at, whole=True)
+        self._end(event.request_id, event.at, completed=True)
         return []
 
     def _abandon(self, event: events.Abandoned) -> list[actions.Action]:
         request = self.waiting.get(event.request_id)
         if request is not None:
             self._withdraw(request)
-        self._end(event.request_id, event.at, whole=False)
+        self._end(event.request_id, event.at, completed=False)
         return []
 
-    def _end(self, request_id: str, at: float, *, whole: bool) -> None:
-        flight = self.flights.pop(request_id, None)
+    def _end(self, request_id: str, at: float, *, completed: bool) -> None:
+        running = self.running.pop(request_id, None)
         self.recovery.forget(request_id)
-        if flight is None:
+        if running is None:
             return
-        request = flight.request
-        self._release(flight, flight.stages, at)
-        if flight.endpoint:
-            self.plain.ended(flight.endpoint)
-            self.chooser.openings += 1
-        request.lane.ended(flight, at, whole=whole)
+        request = running.request
+        self._release(running, running.stages, at)
+        if running.endpoint:
+            self.plain.ended(running.endpoint)
+            self.chooser.capacity_generation += 1
+        request.lane.ended(running, at, completed=completed)
         if request.lane.key.plain:
             return
-        used = request.arrival.prompt_tokens + flight.tokens
+        used = request.arrival.prompt_tokens + running.tokens
         unused = max(0.0, request.charged - used)
         self.limits.refund(request.arrival.account, unused)
 
     def _release(
         self,
-        flight: lanes_module.Flight,
+        running: lanes_module.RunningRequest,
         stages: tuple[chains.Stage, ...],
         at: float,
     ) -> None:
-        if flight.first_at is None:
-            self.chooser.prompted(stages, flight.request.job)
-        self.chooser.ended(stages, flight.request.job, at)
+        if running.first_token_at is None:
+            self.chooser.prefill_finished(stages, running.request.job)
+        self.chooser.ended(stages, running.request.job, at)
 
-    def _repeat(
-        self, event: events.Arrival, flight: lanes_module.Flight
+    def _retry_plain(
+        self, event: events.Arrival, running: lanes_module.RunningRequest
     ) -> list[actions.Action]:
-        """Sends a plain request that was not run to another endpoint."""
-        if not flight.endpoint:
+        """Retries a plain request that was not executed on another endpoint."""
+        if not running.endpoint:
             return []
-        failed = flight.endpoint
-        self.health.failed(failed, event.at, certain=False)
-        flight.failed.add(failed)
+        failed = running.endpoint
+        self.health.record_failure(failed, event.at, unreachable=False)
+        running.failed_endpoints.add(failed)
         name = self.plain.choose(
-            flight.request.service.name, frozenset(flight.failed)
+            running.request.service.name, frozenset(running.failed_endpoints)
         )
-        allowed = self.budget.spend(flight.repeats, flight.request.cost)
+        allowed = self.budget.spend(running.retries, running.request.cost)
         if name is None or not allowed:
-            self._end(event.request_id, event.at, whole=False)
+            self._end(event.request_id, event.at, completed=False)
             reasons = actions.RefusalReason
             return [
-                self._not_repeated(
+                self._refuse_retry(
                     event.request_id,
                     reasons.NO_REPLACEMENT if allowed else reasons.RETRY_BUDGET,
                 )
             ]
         self.plain.ended(failed)
         self.plain.started(name)
-        flight.endpoint = name
-        flight.repeats += 1
+        running.endpoint = name
+        running.retries += 1
         return [actions.DispatchPlain(event.request_id, name)]
 
     def _stage_failed(self, event: events.StageFailed) -> list[actions.Action]:
         failed = event.chain.stages[event.index]
-        self.recovery.note(event)
-        flight = self.flights.get(event.request_id)
-        if flight is None:
+        self.recovery.record_failure(event)
+        running = self.running.get(event.request_id)
+        if running is None:
             return [
-                self._not_repeated(
+                self._refuse_retry(
                     event.request_id, actions.RefusalReason.NO_REPLACEMENT
                 )
             ]
-        if failed in flight.stages:
-            self._release(flight, (failed,), event.at)
-            flight.stages = tuple(s for s in flight.stages if s != failed)
-        if not self.budget.spend(flight.repeats, 1.0 + event.positions):
-            self._end(event.request_id, event.at, whole=False)
+        if failed in running.stages:
+            self._release(running, (failed,), event.at)
+            running.stages = tuple(s for s in running.stages if s != failed)
+        if not self.budget.spend(running.retries, 1.0 + event.positions):
+            self._end(event.request_id, event.at, completed=False)
             return [
-                self._not_repeated(
+                self._refuse_retry(
                     event.request_id, actions.RefusalReason.RETRY_BUDGET
                 )
             ]
-        flight.repeats += 1
-        replaced = self.recovery.start(event, flight)
+        running.retries += 1
+        replaced = self.recovery.start(event, running)
         return [] if replaced is None else [replaced]
 
-    def _recover_waiting(self, at: float) -> list[actions.Action]:
-        recovered = self.recovery.go_on(at)
-        decided: list[actions.Action] = list(recovered.replaced)
-        for request_id in recovered.given_up:
-            self._end(request_id, at, whole=False)
+    def _process_recoveries(self, at: float) -> list[actions.Action]:
+        result = self.recovery.retry_pending(at)
+        decided: list[actions.Action] = list(result.replaced)
+        for request_id in result.expired:
+            self._end(request_id, at, completed=False)
             decided.append(
-                self._not_repeated(
+                self._refuse_retry(
                     request_id, actions.RefusalReason.NO_REPLACEMENT
                 )
             )
         return decided
 
-    def _not_repeated(
+    def _refuse_retry(
         self, request_id: str, reason: actions.RefusalReason
     ) -> actions.Refuse:
         return actions.Refuse(
-            request_id, reason, self.jitter.jittered(NOT_READY_RETRY_S)
+            request_id, reason, self.retry_delays.jittered(NOT_READY_RETRY_S)
         )
 
 
@@ -577,7 +597,7 @@
 
     Args:
         rng: Source of all random choices.
-        node: The node's name, by which its own peer load is told apart.
-        settings: Its settings.
+        node: Name of the node; its own peer load events are ignored.
+        settings: Router settings.
     """
     return LoadRouter(rng, node, settings)
--- a/src/almondshift/policy/topology.py
+++ b/src/almondshift/policy/topology.py
@@ -1,14 +1,16 @@
-"""What a node knows of endpoints, and which layers can be served where.
+"""Known endpoints, and an index of the layers that they serve.
 
-Load pattern: a fleet that changes while requests come in: engines join,
-load other layers or versions, leave and fail. Without one place that keeps
-what each endpoint itself reported, a dispatch could use an engine that the
-platform's list still shows but that is leaving, or a version that was
-ordered but not loaded. Grounds: only an endpoint's own report counts, since
-some endpoints ignore fencing numbers and the list of VMs lags.
+Load pattern: a fleet that changes while requests arrive: engines join, load
+other layers or versions, leave and fail. Without a single source for what each
+endpoint reported itself, a request could be sent to an engine that the
+platform's list still shows but that is leaving, or to a version that was
+ordered but not loaded.
 
-The index by what is served is changed only by reports that change a
-holding, so that a steady report costs the same with 8 or 820 engines.
+Rationale: only an endpoint's own report counts, because some endpoints ignore
+fencing numbers and the list of VMs lags behind.
+
+The index is only updated by reports that change a holding, so an unchanged
+report costs the same with 8 or 820 engines.
 """
 
 from __future__ import annotations
@@ -27,7 +29,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
 class Target:
-    """What a chain must hold: a model, its version and an adapter."""
+    """Model, version and adapter that a chain must hold."""
 
     model: str
     version: int
@@ -36,12 +38,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Endpoint:
-    """What is known of one endpoint.
+    """Known state of one endpoint.
 
     Attributes:
-        reported_at: When the last report was true, in monotonic seconds.
+        reported_at: Measurement time of the last report, in monotonic seconds.
         leaving: Set once it is known to leave; cleared by a new instance.
-        served: What it is indexed under.
+        served: Targets and layer ranges that it is indexed under.
     """
 
     name: str
@@ -63,10 +65,11 @@
     """Endpoints, and an index of engines by target and layer range.
 
     Attributes:
-        generation: Grows when any index changes; caches compare it.
-        ranges: Engines by target and range, each in order of arrival.
+        generation: Counter that grows on index and configuration changes, by
+            which caches are invalidated.
+        ranges: Engines by target and layer range, in insertion order.
         plain: Endpoints of plain services by service.
-        changed: Names whose index entries changed; readers clear it.
+        changed: Names whose index entries changed; the consumer clears it.
     """
 
     def __init__(self) -> None:
@@ -76,115 +79,121 @@
         self.ranges: dict[Target, dict[layers.LayerRange, dict[str, None]]] = {}
         self.plain: dict[str, dict[str, None]] = {}
         self.changed: set[str] = set()
-        self._chosen: dict[tuple[str, str], Target | None] = {}
-        self._chosen_generation = -1
+        self._target_cache: dict[tuple[str, str], Target | None] = {}
+        self._target_cache_generation = -1
 
     def configure(self, fleet: fleets.Fleet) -> None:
-        """Takes a newer configuration; an older one is ignored."""
+        """Applies a configuration, unless it is older than the current one."""
         if self.fleet is not None and fleet.version < self.fleet.version:
             return
         self.fleet = fleet
         self.generation += 1
 
-    def see(
+    def update_vm(
         self,
         vm: endpoints.Vm,
         description: endpoints.EndpointDescription | None,
     ) -> None:
-        """Takes a row of the VM list and what the endpoint says of itself."""
-        known = self._known(vm.name)
-        known.vm = vm
+        """Applies a row of the VM list and the endpoint's own description."""
+        endpoint = self._get_or_add(vm.name)
+        endpoint.vm = vm
         if description is not None:
-            known.description = description
-            self._forget_other_instance(known, description.instance)
+            endpoint.description = description
+            self._discard_stale_report(endpoint, description.instance)
         if vm.state is endpoints.VmState.LEAVING:
-            self._mark_leaving(known)
-        self._index(known)
+            self._set_leaving(endpoint)
+        self._index(endpoint)
 
     def report(self, report: endpoints.LoadReport, at: float) -> bool:
-        """Takes a load report; one older than the last is ignored.
+        """Applies a load report, unless it is older than the last one.
 
         Returns:
-            Whether the report was taken.
+            Whether the report was applied.
         """
-        known = self._known(report.endpoint)
-        true_at = at - report.age_s
-        if true_at < known.reported_at and self._same_instance(known, report):
+        endpoint = self._get_or_add(report.endpoint)
+        measured_at = at - report.age_s
+        if measured_at < endpoint.reported_at and self._same_instance(
+            endpoint, report
+        ):
             return False
-        if known.left_instance and known.left_instance != report.instance:
-            known.leaving = False
-        changed = known.report is None or _differ(known.report, report)
-        known.report = report
-        known.reported_at = true_at
+        if endpoint.left_instance and endpoint.left_instance != report.instance:
+            endpoint.leaving = False
+        changed = endpoint.report is None or _is_significant_change(
+            endpoint.report, report
+        )
+        endpoint.report = report
+        endpoint.reported_at = measured_at
         if changed:
             if report.leaving:
-                self._mark_leaving(known)
-            self._index(known)
+                self._set_leaving(endpoint)
+            self._index(endpoint)
         return True
 
-    def leave(self, name: str) -> None:
-        """Notes that an endpoint is leaving."""
-        known = self.endpoints.get(name)
-        if known is not None:
-            self._mark_leaving(known)
-            self._index(known)
+    def mark_leaving(self, name: str) -> None:
+        """Marks an endpoint as leaving."""
+        endpoint = self.endpoints.get(name)
+        if endpoint is not None:
+            self._set_leaving(endpoint)
+            self._index(endpoint)
 
     def remove(self, name: str) -> None:
-        """Forgets an endpoint."""
-        known = self.endpoints.pop(name, None)
-        if known is not None:
-            known.leaving = True
-            self._index(known)
+        """Removes an endpoint."""
+        endpoint = self.endpoints.pop(name, None)
+        if endpoint is not None:
+            endpoint.leaving = True
+            self._index(endpoint)
             self.changed.add(name)
 
     def serves(
         self, name: str, target: Target, needed: layers.LayerRange
     ) -> bool:
-        """Returns whether an engine can run these layers of a target now."""
-        known = self.endpoints.get(name)
-        if known is None:
+        """Returns whether an engine serves these layers of a target now."""
+        endpoint = self.endpoints.get(name)
+        if endpoint is None:
             return False
         return any(
             held == target and span.covers(needed)
-            for held, span in known.served
+            for held, span in endpoint.served
         )
 
     def layer_count(self, model: str) -> int:
-        """Returns the number of layers of a model, 0 if it is unknown."""
+        """Returns the number of layers of a model, or 0 if it is unknown."""
         if self.fleet is None or model not in self.fleet.models:
             return 0
         return self.fleet.models[model].layers
 
     def target_of(self, service: fleets.Service) -> Target | None:
-        """Returns what requests of a service run on now.
+        """Returns the target that requests of a service currently run on.
 
-        The version in force, once a whole chain of it is ready; until then
-        the newest older one with a whole chain, then the oldest newer one
-        (a change back), so that a change of version fails no request.
+        This is the configured version once a complete chain of it is ready.
+        Until then it is the newest older version with a complete chain, else
+        the oldest newer one (after a rollback), so that a version change
+        fails no requests.
         """
-        if self._chosen_generation != self.generation:
-            self._chosen.clear()
-            self._chosen_generation = self.generation
+        if self._target_cache_generation != self.generation:
+            self._target_cache.clear()
+            self._target_cache_generation = self.generation
         key = (service.model, service.adapter)
-        if key not in self._chosen:
-            self._chosen[key] = self._choose_target(*key)
-        return self._chosen[key]
+        if key not in self._target_cache:
+            self._target_cache[key] = self._choose_target(*key)
+        return self._target_cache[key]
 
     def service_ready(self, name: str) -> bool:
-        """Returns whether a service and all that it depends on can run."""
-        return self._ready(name, frozenset())
+        """Returns whether a service and all its dependencies can run."""
+        return self._is_ready(name, frozenset())
 
-    def _ready(self, name: str, above: frozenset[str]) -> bool:
-        if self.fleet is None or name in above:
+    def _is_ready(self, name: str, visited: frozenset[str]) -> bool:
+        if self.fleet is None or name in visited:
             return False
         service = self.fleet.services.get(name)
-        if service is None or not self._itself_ready(service):
+        if service is None or not self._is_ready_alone(service):
             return False
         return all(
-            self._ready(needed, above | {name}) for needed in service.depends_on
+            self._is_ready(needed, visited | {name})
+            for needed in service.depends_on
         )
 
-    def _itself_ready(self, service: fleets.Service) -> bool:
+    def _is_ready_alone(self, service: fleets.Service) -> bool:
         if service.kind is fleets.ServiceKind.PLAIN:
             return bool(self.plain.get(service.name))
         return self.target_of(service) is not None
@@ -194,7 +203,7 @@
         if self.fleet is None or count == 0:
             return None
         wanted = self.fleet.models[model].version
-        whole = [
+        complete = [
             target
             for target, spans in self.ranges.items()
             if target.model == model
@@ -202,50 +211,57 @@
             and covers_all(spans, count)
         ]
         return min(
-            whole, key=lambda t: _version_rank(t.version, wanted), default=None
+            complete,
+            key=lambda t: _version_rank(t.version, wanted),
+            default=None,
         )
 
-    def _known(self, name: str) -> Endpoint:
+    def _get_or_add(self, name: str) -> Endpoint:
         return self.endpoints.setdefault(name, Endpoint(name))
 
     def _same_instance(
-        self, known: Endpoint, report: endpoints.LoadReport
+        self, endpoint: Endpoint, report: endpoints.LoadReport
     ) -> bool:
-        return known.report is None or known.report.instance == report.instance
+        return (
+            endpoint.report is None
+            or endpoint.report.instance == report.instance
+        )
 
-    def _mark_leaving(self, known: Endpoint) -> None:
-        known.leaving = True
-        if known.report is not None:
-            known.left_instance = known.report.instance
-        elif known.description is not None:
-            known.left_instance = known.description.instance
+    def _set_leaving(self, endpoint: Endpoint) -> None:
+        endpoint.leaving = True
+        if endpoint.report is not None:
+            endpoint.left_instance = endpoint.report.instance
+        elif endpoint.description is not None:
+            endpoint.left_instance = endpoint.description.instance
 
-    def _forget_other_instance(self, known: Endpoint, instance: str) -> None:
-        """Drops the report of an engine's earlier life.
+    def _discard_stale_report(self, endpoint: Endpoint, instance: str) -> None:
+        """Discards the report of an engine's earlier instance.
 
-        A restarted engine holds nothing; with the old report a dispatch
-        would be refused by it until the next report.
+        A restarted engine holds nothing. With the old report, requests would
+        be sent to it and refused until its next report.
         """
-        if known.report is not None and known.report.instance != instance:
-            known.report = None
-            known.reported_at = float("-inf")
-            known.leaving = False
-
-    def _index(self, known: Endpoint) -> None:
-        self._index_plain(known)
-        served = _served(known)
-        if served == known.served:
+        if endpoint.report is not None and endpoint.report.instance != instance:
+            endpoint.report = None
+            endpoint.reported_at = float("-inf")
+            endpoint.leaving = False
+
+    def _index(self, endpoint: Endpoint) -> None:
+        self._index_plain(endpoint)
+        served = _served(endpoint)
+        if served == endpoint.served:
             return
-        for target, span in known.served - served:
-            self._drop(target, span, known.name)
-        for target, span in sorted(served - known.served):
+        for target, span in endpoint.served - served:
+            self._unindex(target, span, endpoint.name)
+        for target, span in sorted(served - endpoint.served):
             spans = self.ranges.setdefault(target, {})
-            spans.setdefault(span, {})[known.name] = None
-        known.served = served
-        self.changed.add(known.name)
+            spans.setdefault(span, {})[endpoint.name] = None
+        endpoint.served = served
+        self.changed.add(endpoint.name)
         self.generation += 1
 
-    def _drop(self, target: Target, span: layers.LayerRange, name: str) -> None:
+    def _unindex(
+        self, target: Target, span: layers.LayerRange, name: str
+    ) -> None:
         spans = self.ranges[target]
         del spans[span][name]
         if not spans[span]:
@@ -253,19 +269,19 @@
         if not spans:
             del self.ranges[target]
 
-    def _index_plain(self, known: Endpoint) -> None:
-        vm = known.vm
+    def _index_plain(self, endpoint: Endpoint) -> None:
+        vm = endpoint.vm
         if vm is None or vm.kind is not endpoints.EndpointKind.PLAIN:
             return
         serving = self.plain.setdefault(vm.service, {})
-        if known.leaving:
-            serving.pop(known.name, None)
+        if endpoint.leaving:
+            serving.pop(endpoint.name, None)
         else:
-            serving[known.name] = None
+            serving[endpoint.name] = None
 
 
 def covers_all(spans: Iterable[layers.LayerRange], count: int) -> bool:
-    """Returns whether ranges, which may overlap, cover ``count`` layers."""
+    """Returns whether ranges that may overlap cover ``count`` layers."""
     reached = 0
     for span in sorted(spans):
         if span.start > reached:
@@ -274,8 +290,10 @@
     return reached >= count
 
 
-def _differ(before: endpoints.LoadReport, after: endpoints.LoadReport) -> bool:
-    """Returns whether a report changes what an engine may be used for."""
+def _is_significant_change(
+    before: endpoints.LoadReport, after: endpoints.LoadReport
+) -> bool:
+    """Returns whether a report changes how an engine may be used."""
     return (
         before.holdings != after.holdings
         or before.instance != after.instance
@@ -293,13 +311,13 @@
 
 
 def _served(
-    known: Endpoint,
+    endpoint: Endpoint,
 ) -> frozenset[tuple[Target, layers.LayerRange]]:
-    report = known.report
+    report = endpoint.report
     if (
-        known.leaving
-        or known.vm is None
-        or known.description is None
+        endpoint.leaving
+        or endpoint.vm is None
+        or endpoint.description is None
         or report is None
         or report.role is endpoints.EndpointRole.DRAINING
     ):
@@ -312,5 +330,5 @@
 
 
 def create_topology() -> Topology:
-    """Returns a topology that knows no endpoint."""
+    """Returns an empty topology."""
     return Topology()
--- a/tests/policy/fleets.py
+++ b/tests/policy/fleets.py
@@ -1,4 +1,4 @@
-"""Small fleets and events that the tests of decisions share."""
+"""Small fleets and events for the policy tests."""
 
 from __future__ import annotations
 
@@ -103,6 +103,6 @@
     )
 
 
-def feed(router: routers.Router, *news: events.Event) -> None:
-    for event in news:
+def feed(router: routers.Router, *incoming: events.Event) -> None:
+    for event in incoming:
         router.handle(event)
--- a/tests/policy/test_baseline.py
+++ b/tests/policy/test_baseline.py
@@ -32,7 +32,7 @@
     return [stage.endpoint for stage in action.chain.stages]
 
 
-def test_takes_chains_in_turn() -> None:
+def test_chains_are_used_in_rotation() -> None:
     router = _router()
     first, second = (
         _endpoints(router.handle(fleets.arrival(f"r{i}"))[0]) for i in (1, 2)
--- a/tests/policy/test_fair_queue.py
+++ b/tests/policy/test_fair_queue.py
@@ -23,13 +23,13 @@
 def _drain(
     queue: fair_queue.FairQueue[str], cost: float
 ) -> collections.Counter[str]:
-    """Takes entries worth a cost; returns the cost by account."""
+    """Dequeues entries up to a total cost; returns the cost by account."""
     served: collections.Counter[str] = collections.Counter()
     while sum(served.values()) < cost:
         entry = queue.peek()
         if entry is None:
             break
-        queue.take(entry)
+        queue.dequeue(entry)
         served[entry.account] += int(entry.cost)
     return served
 
@@ -65,7 +65,7 @@
     assert _drain(queue, 30)["new"] == 10
 
 
-def test_an_idle_account_saves_up_nothing() -> None:
+def test_an_idle_account_accumulates_no_credit() -> None:
     queue: fair_queue.FairQueue[str] = fair_queue.FairQueue()
     for _ in range(100):
         queue.push(_entry("a"), 1.0)
@@ -76,7 +76,7 @@
     assert served["a"] == pytest.approx(served["b"], abs=20)
 
 
-def test_critical_is_next_and_bulk_is_not_starved() -> None:
+def test_critical_requests_are_next_and_bulk_is_not_starved() -> None:
     queue: fair_queue.FairQueue[str] = fair_queue.FairQueue()
     for _ in range(50):
         queue.push(_entry("draft", priority=fleet.Priority.BULK), 1.0)
@@ -89,13 +89,13 @@
     assert served["draft"] == pytest.approx(100, abs=20)
 
 
-def test_short_ones_pass_a_long_one_that_may_not_start() -> None:
+def test_short_requests_bypass_a_blocked_long_request() -> None:
     queue: fair_queue.FairQueue[str] = fair_queue.FairQueue()
     queue.push(_entry("a", 900.0, long=True), 1.0)
     queue.push(_entry("a"), 1.0)
     entry = queue.peek(allow_long=False)
     assert entry is not None and not entry.long
-    queue.take(entry)
+    queue.dequeue(entry)
     assert queue.peek(allow_long=False) is None
     assert queue.peek() is not None
 
--- a/tests/policy/test_patterns.py
+++ b/tests/policy/test_patterns.py
@@ -1,4 +1,4 @@
-"""The router against the baseline, judged by what callers receive."""
+"""Router compared with the baseline, by the outcomes for callers."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 SEED = 1
 SLOW_SHARE = 0.14
-"""The slow engine's rate by that of all engines with its layers."""
+"""Share of the slow engine in the rate of all engines with its layers."""
 
 
 @functools.cache
@@ -25,21 +25,21 @@
 
 
 def _good_share(played: patterns.Played) -> float:
-    part = played.results.between(played.start, played.end)
-    return part.good_share()
+    in_period = played.results.between(played.start, played.end)
+    return in_period.good_share()
 
 
 def _others(played: patterns.Played) -> results.Results:
-    part = played.results.between(played.start, played.end)
-    return part.where(lambda o: o.arrival.account != patterns.HOT_ACCOUNT)
+    in_period = played.results.between(played.start, played.end)
+    return in_period.where(lambda o: o.arrival.account != patterns.HOT_ACCOUNT)
 
 
-def _p99(part: results.Results) -> float:
-    return results.percentiles(part.whole_s())[2]
+def _p99(in_period: results.Results) -> float:
+    return results.percentiles(in_period.whole_s())[2]
 
 
 @pytest.mark.parametrize(
-    ("play", "least"),
+    ("run_pattern", "least"),
     [
         (patterns.burst, 0.98),
         (patterns.hot_prefix, 0.98),
@@ -50,26 +50,29 @@
     ],
 )
 def test_callers_are_answered_in_time(
-    play: Callable[[patterns.Factory, int], patterns.Played], least: float
+    run_pattern: Callable[[patterns.Factory, int], patterns.Played],
+    least: float,
 ) -> None:
-    """Under each pattern nearly all callers get a whole answer in time.
+    """Under each pattern, nearly all callers get a complete answer in time.
 
-    The load alone could be served; a burst, a fault or the end of an
-    overload comes on top. What is counted is whole answers before the
-    callers' deadline, and never fewer than with the baseline.
+    The base load is within capacity; a burst, a fault or the end of an
+    overload is added to it. The share of complete answers before the callers'
+    deadlines must also be at least about that of the baseline.
     """
-    played = play(clusters.create_router, SEED)
+    played = run_pattern(clusters.create_router, SEED)
     share = _good_share(played)
     assert share >= least
-    assert share >= _good_share(play(clusters.create_baseline, SEED)) - 0.01
+    assert (
+        share >= _good_share(run_pattern(clusters.create_baseline, SEED)) - 0.01
+    )
 
 
 @pytest.mark.parametrize("times", [2.0, 4.0])
 def test_overload_costs_no_goodput(times: float) -> None:
-    """At two and four times the load, as much is answered in time.
+    """At two and four times the load, goodput is maintained.
 
-    The baseline sends everything on, so that all callers get slow answers
-    and most give up; the router refuses what can't be served in time.
+    The baseline dispatches everything, so that all callers get slow answers
+    and most give up. The router refuses what can't be served in time.
     """
     normal = _steady(clusters.create_router, 1.0)
     over = _steady(clusters.create_router, times)
@@ -79,12 +82,12 @@
     assert over.goodput >= 0.8 * over.bound
 
 
-def test_refusals_come_at_once_or_when_the_wait_is_up() -> None:
-    """A refused caller is told within 50 ms of the decision.
+def test_refusals_are_immediate_or_at_the_wait_limit() -> None:
+    """A refused caller is notified within 50 ms of the decision.
 
-    Most are refused on arrival. The others were let in to wait for at
-    most two seconds, and are refused when those are up, long before the
-    eight seconds of their deadline.
+    Most requests are refused on arrival. The others were admitted to wait for
+    at most two seconds and are refused when these have passed, long before
+    their deadline of eight seconds.
     """
     over = _steady(clusters.create_router, 4.0)
     refusals = over.results.refusals()
@@ -93,11 +96,11 @@
     assert max(refusals) < 4.1
 
 
-def test_a_hot_account_waits_for_itself() -> None:
-    """Others lose at most five in a hundred answers to a hot account.
+def test_a_hot_account_only_delays_itself() -> None:
+    """A hot account costs the others at most 5% of their answers.
 
     One account of ten sends ten times its share. With the baseline, all
-    accounts lose alike.
+    accounts lose equally.
     """
     alone = patterns.hot_account(clusters.create_router, SEED, 0.0)
     hot = patterns.hot_account(clusters.create_router, SEED, 10.0)
@@ -108,16 +111,16 @@
 
 
 def test_long_jobs_do_not_hold_up_short_ones() -> None:
-    """Short requests take at most twice as long beside long ones.
+    """Short requests take at most twice as long alongside long ones.
 
-    Drafts of 512 tokens are asked for at one and a half times what the
-    hardware can do, with short requests among them.
+    Drafts of 512 tokens are requested at one and a half times the capacity of
+    the hardware, mixed with short requests.
     """
 
     def short(factory: patterns.Factory, load: float) -> results.Results:
         played = patterns.long_among_short(factory, SEED, load)
-        part = played.results.between(played.start, played.end)
-        return part.where(lambda o: o.arrival.account != "drafts")
+        in_period = played.results.between(played.start, played.end)
+        return in_period.where(lambda o: o.arrival.account != "drafts")
 
     alone = short(clusters.create_router, 0.0)
     among = short(clusters.create_router, 1.5)
@@ -127,25 +130,25 @@
     assert _p99(among) < _p99(base)
 
 
-def test_critical_requests_are_not_behind_drafts() -> None:
-    """Pause notices are answered while drafts alone would fill everything.
+def test_critical_requests_do_not_wait_for_drafts() -> None:
+    """Critical requests are answered while drafts alone exceed capacity.
 
-    Drafts come at twice the load. All critical requests are answered in
-    time, and drafts still get what is left.
+    Drafts arrive at twice the load. Critical requests (pause notices) are
+    answered in time, and drafts still get the remaining capacity.
     """
     played = patterns.critical_among_bulk(clusters.create_router, SEED)
-    part = played.results.between(played.start, played.end)
-    critical = part.where(lambda o: o.arrival.priority == 0)
-    drafts = part.where(lambda o: o.arrival.priority == 2)
+    in_period = played.results.between(played.start, played.end)
+    critical = in_period.where(lambda o: o.arrival.priority == 0)
+    drafts = in_period.where(lambda o: o.arrival.priority == 2)
     assert critical.good_share() >= 0.99
     assert drafts.good_share() >= 0.4
 
 
-def test_a_slow_endpoint_costs_its_own_share() -> None:
-    """Throughput falls by no more than the slow engine's part.
+def test_a_slow_endpoint_only_costs_its_own_throughput() -> None:
+    """Throughput falls by no more than the slow engine's share.
 
-    An engine becomes ten times slower. Two seconds later, answers come at
-    the rate that the other engines allow.
+    An engine becomes ten times slower. Two seconds later, the throughput is
+    what the other engines allow.
     """
     normal = _steady(clusters.create_router, 1.0)
     slow = patterns.slow_endpoint(clusters.create_router, SEED)
--- a/tests/policy/test_router.py
+++ b/tests/policy/test_router.py
@@ -22,13 +22,13 @@
     accounts: tuple[fleet.Account, ...] = (),
 ) -> router.LoadRouter:
     settings = router.RouterSettings(zone="z1")
-    made = router.create_router(random.Random(1), "n0", settings)
+    load_router = router.create_router(random.Random(1), "n0", settings)
     config = fleets.make_fleet(services=services, accounts=accounts)
-    fleets.feed(made, events.FleetChanged(0.0, config))
+    fleets.feed(load_router, events.FleetChanged(0.0, config))
     held = {"a": (0, 4), "b": (4, 8), "c": (3, 8)} if spans is None else spans
     for name, span in held.items():
-        fleets.feed(made, fleets.seen(name), fleets.reported(name, span))
-    return made
+        fleets.feed(load_router, fleets.seen(name), fleets.reported(name, span))
+    return load_router
 
 
 def _chain(action: actions.Action) -> chains.Chain:
@@ -41,16 +41,16 @@
     return [a for a in decided if isinstance(a, actions.Refuse)]
 
 
-def _fill(made: router.LoadRouter, at: float = 0.0) -> int:
-    """Sends requests until one waits; returns how many were sent on."""
+def _fill(load_router: router.LoadRouter, at: float = 0.0) -> int:
+    """Sends requests until one waits; returns the number dispatched."""
     for count in range(1000):
-        sent = made.handle(
+        sent = load_router.handle(
             fleets.arrival(f"fill{count}", at=at, account=f"f{count}")
         )
         if not sent:
             return count
         assert isinstance(sent[0], actions.Dispatch)
-    raise AssertionError("nothing ever waited")
+    raise AssertionError("no request had to wait")
 
 
 @pytest.mark.parametrize(
@@ -66,9 +66,9 @@
 def test_a_chain_covers_all_layers_within_what_engines_hold(
     spans: dict[str, tuple[int, int]],
 ) -> None:
-    made = _router(spans)
+    load_router = _router(spans)
     for i in range(5):
-        (action,) = made.handle(fleets.arrival(f"r{i}"))
+        (action,) = load_router.handle(fleets.arrival(f"r{i}"))
         for stage in _chain(action).stages:
             assert layers.LayerRange(*spans[stage.endpoint]).covers(
                 stage.layers
@@ -76,7 +76,7 @@
 
 
 @pytest.mark.parametrize(
-    ("event", "reason", "comes_back"),
+    ("event", "reason", "has_retry_after"),
     [
         (fleets.arrival(service="none"), REASONS.UNKNOWN_SERVICE, False),
         (fleets.arrival(deadline_s=0.0), REASONS.DEADLINE_PAST, False),
@@ -84,28 +84,28 @@
     ],
 )
 def test_refusals_on_arrival(
-    event: events.Arrival, reason: actions.RefusalReason, comes_back: bool
+    event: events.Arrival, reason: actions.RefusalReason, has_retry_after: bool
 ) -> None:
     portal = fleet.Service("portal", fleet.ServiceKind.PLAIN)
     (refusal,) = _router(services=(portal,)).handle(event)
     assert isinstance(refusal, actions.Refuse)
     assert refusal.reason is reason
-    assert (refusal.retry_after_s is not None) is comes_back
+    assert (refusal.retry_after_s is not None) is has_retry_after
 
 
 def test_a_full_system_queues_then_refuses_on_arrival() -> None:
-    """A caller that can't be served in time is told at once.
+    """A request that can't be served in time is refused immediately.
 
-    Engines are full and nothing completes. The first callers wait; once
-    the queue is as long as may be waited for, the next ones are refused
-    in the call that brought them, with a Retry-After.
+    Engines are full and nothing completes. The first requests wait. Once the
+    queue has reached the maximum wait, further requests are refused on
+    arrival, with a Retry-After.
     """
-    made = _router()
-    _fill(made)
+    load_router = _router()
+    _fill(load_router)
     refused = [
         action
         for i in range(200)
-        for action in made.handle(fleets.arrival(f"r{i}", at=0.01))
+        for action in load_router.handle(fleets.arrival(f"r{i}", at=0.01))
     ]
     assert refused
     for action in refused:
@@ -114,38 +114,38 @@
         assert action.retry_after_s
 
 
-def test_a_request_that_waits_is_refused_long_before_its_deadline() -> None:
-    made = _router()
-    _fill(made)
-    due = made.handle(events.Tick(1.9))
-    due += made.handle(events.Tick(2.1))
+def test_a_waiting_request_is_refused_long_before_its_deadline() -> None:
+    load_router = _router()
+    _fill(load_router)
+    due = load_router.handle(events.Tick(1.9))
+    due += load_router.handle(events.Tick(2.1))
     (refusal,) = due
     assert isinstance(refusal, actions.Refuse)
     assert refusal.reason is REASONS.OVERLOADED
 
 
-def test_a_slot_that_comes_free_goes_to_who_waits() -> None:
-    made = _router()
-    count = _fill(made)
-    (action,) = made.handle(events.Completed(0.5, "fill0"))
+def test_a_freed_slot_goes_to_a_waiting_request() -> None:
+    load_router = _router()
+    count = _fill(load_router)
+    (action,) = load_router.handle(events.Completed(0.5, "fill0"))
     assert isinstance(action, actions.Dispatch)
     assert action.request_id == f"fill{count}"
 
 
 def test_an_abandoned_request_is_not_dispatched() -> None:
-    made = _router()
-    count = _fill(made)
-    assert made.handle(events.Abandoned(0.1, f"fill{count}")) == []
-    assert made.handle(events.Completed(0.5, "fill0")) == []
-    assert not made.waiting
+    load_router = _router()
+    count = _fill(load_router)
+    assert load_router.handle(events.Abandoned(0.1, f"fill{count}")) == []
+    assert load_router.handle(events.Completed(0.5, "fill0")) == []
+    assert not load_router.waiting
 
 
 def test_a_failed_stage_is_replaced_and_the_endpoint_avoided() -> None:
-    made = _router()
-    (action,) = made.handle(fleets.arrival())
+    load_router = _router()
+    (action,) = load_router.handle(fleets.arrival())
     chain = _chain(action)
     failed = chain.stages[1]
-    (replace,) = made.handle(
+    (replace,) = load_router.handle(
         events.StageFailed(0.1, "r1", chain, 1, events.FailureReason.BROKEN, 16)
     )
     assert isinstance(replace, actions.Replace)
@@ -154,49 +154,49 @@
 
 
 def test_a_request_waits_for_an_engine_that_takes_over_its_layers() -> None:
-    """A caller keeps its answer when the only engine of a range is lost.
+    """A request survives the loss of the only engine of a layer range.
 
-    The stage fails and nobody else holds its layers: the router says
-    nothing yet. Another engine loads them and reports; the stage is then
-    replaced. Without a report, the request is refused within five seconds.
+    The stage fails and no other engine holds its layers, so the router takes
+    no action yet. Another engine loads them and reports; the stage is then
+    replaced.
     """
-    made = _router({"a": (0, 4), "b": (4, 8)})
-    (action,) = made.handle(fleets.arrival(deadline_s=60.0))
+    load_router = _router({"a": (0, 4), "b": (4, 8)})
+    (action,) = load_router.handle(fleets.arrival(deadline_s=60.0))
     failure = events.StageFailed(
         0.1, "r1", _chain(action), 1, events.FailureReason.UNREACHABLE, 16
     )
-    assert made.handle(failure) == []
-    fleets.feed(made, fleets.seen("c"))
-    (replace,) = made.handle(fleets.reported("c", (4, 8), at=2.0))
+    assert load_router.handle(failure) == []
+    fleets.feed(load_router, fleets.seen("c"))
+    (replace,) = load_router.handle(fleets.reported("c", (4, 8), at=2.0))
     assert isinstance(replace, actions.Replace)
     assert replace.replacement[0].endpoint == "c"
 
 
 def test_a_request_without_replacement_is_refused_soon() -> None:
-    made = _router({"a": (0, 4), "b": (4, 8)})
-    (action,) = made.handle(fleets.arrival(deadline_s=60.0))
+    load_router = _router({"a": (0, 4), "b": (4, 8)})
+    (action,) = load_router.handle(fleets.arrival(deadline_s=60.0))
     failure = events.StageFailed(
         0.1, "r1", _chain(action), 1, events.FailureReason.UNREACHABLE, 16
     )
-    assert made.handle(failure) == []
-    assert not _refusals(made.handle(events.Tick(5.0)))
-    (refusal,) = _refusals(made.handle(events.Tick(5.2)))
+    assert load_router.handle(failure) == []
+    assert not _refusals(load_router.handle(events.Tick(5.0)))
+    (refusal,) = _refusals(load_router.handle(events.Tick(5.2)))
     assert refusal.reason is REASONS.NO_REPLACEMENT
-    assert made.in_flight() == {}
+    assert load_router.in_flight() == {}
 
 
-def test_in_flight_counts_return_to_nothing() -> None:
-    made = _router()
+def test_in_flight_counts_return_to_zero() -> None:
+    load_router = _router()
     for i in range(4):
-        made.handle(fleets.arrival(f"r{i}"))
-    assert sum(made.in_flight().values()) == 8
-    made.handle(events.Progress(0.1, "r0", 1))
+        load_router.handle(fleets.arrival(f"r{i}"))
+    assert sum(load_router.in_flight().values()) == 8
+    load_router.handle(events.Progress(0.1, "r0", 1))
     for i in range(4):
-        made.handle(events.Completed(0.2, f"r{i}"))
-    assert made.in_flight() == {}
+        load_router.handle(events.Completed(0.2, f"r{i}"))
+    assert load_router.in_flight() == {}
     assert all(
-        engine.load.pending_prompt == 0
-        for engine in made.chooser.engines.values()
+        engine.load.pending_prompt_tokens == 0
+        for engine in load_router.chooser.engines.values()
     )
 
 
@@ -209,139 +209,148 @@
         fleets.reported("b", (4, 8), at=0.1, ready=False),
     ],
 )
-def test_no_new_work_for_an_endpoint_that_can_not_take_it(
+def test_an_unavailable_endpoint_gets_no_new_work(
     event: events.Event,
 ) -> None:
-    made = _router()
-    fleets.feed(made, event)
+    load_router = _router()
+    fleets.feed(load_router, event)
     for i in range(10):
-        (action,) = made.handle(fleets.arrival(f"r{i}", at=0.2))
+        (action,) = load_router.handle(fleets.arrival(f"r{i}", at=0.2))
         used = {stage.endpoint for stage in _chain(action).stages}
         assert "b" not in used
 
 
 def test_an_account_over_its_limit_is_refused_and_others_are_not() -> None:
     limited = fleet.Account("a", "", tokens_per_s=32.0)
-    made = _router(accounts=(limited,))
+    load_router = _router(accounts=(limited,))
     decided = [
-        made.handle(fleets.arrival(f"r{i}", account="a"))[0] for i in range(8)
+        load_router.handle(fleets.arrival(f"r{i}", account="a"))[0]
+        for i in range(8)
     ]
     refused = [a for a in decided if isinstance(a, actions.Refuse)]
     assert len(refused) == 6
     assert {a.reason for a in refused} == {REASONS.ACCOUNT_LIMITED}
-    (other,) = made.handle(fleets.arrival("r9", account="b"))
+    (other,) = load_router.handle(fleets.arrival("r9", account="b"))
     assert isinstance(other, actions.Dispatch)
 
 
-def test_a_plain_request_that_was_not_run_goes_elsewhere() -> None:
+def test_an_unexecuted_plain_request_is_retried_elsewhere() -> None:
     portal = fleet.Service("portal", fleet.ServiceKind.PLAIN)
-    made = _router(services=(portal,))
-    fleets.feed(made, *(fleets.seen(n, service="portal") for n in ("p", "q")))
+    load_router = _router(services=(portal,))
+    fleets.feed(
+        load_router, *(fleets.seen(n, service="portal") for n in ("p", "q"))
+    )
     event = fleets.arrival("r1", "portal", max_tokens=0)
-    (first,) = made.handle(event)
-    (second,) = made.handle(dataclasses.replace(event, at=0.1))
+    (first,) = load_router.handle(event)
+    (second,) = load_router.handle(dataclasses.replace(event, at=0.1))
     assert isinstance(first, actions.DispatchPlain)
     assert isinstance(second, actions.DispatchPlain)
     assert first.endpoint != second.endpoint
-    made.handle(events.Completed(0.2, "r1"))
-    assert made.in_flight() == {}
+    load_router.handle(events.Completed(0.2, "r1"))
+    assert load_router.in_flight() == {}
 
 
 def test_a_version_change_fails_no_request() -> None:
-    """Callers are served by the old version until the new one is whole.
+    """The old version serves requests until the new one is complete.
 
-    The configuration names version 2 while engines still hold 1. As they
-    load 2 one after another, each request gets a whole chain of a single
-    version: first of 1, and of 2 from the moment all its layers are ready.
+    The configuration names version 2 while engines still hold version 1. As
+    they load version 2 one after another, each request gets a complete chain
+    of a single version: version 1 at first, and version 2 as soon as all its
+    layers are ready.
     """
     spans = {"a": (0, 4), "b": (4, 8), "c": (0, 4), "d": (4, 8)}
-    made = _router(spans)
+    load_router = _router(spans)
     config = fleets.make_fleet(version=2, model_version=2)
-    fleets.feed(made, events.FleetChanged(1.0, config))
+    fleets.feed(load_router, events.FleetChanged(1.0, config))
     versions = []
     for step, name in enumerate(("a", "b", "c", "d")):
         at = 2.0 + step
-        fleets.feed(made, fleets.reported(name, spans[name], at, version=2))
-        (action,) = made.handle(fleets.arrival(f"r{step}", at=at))
+        fleets.feed(
+            load_router, fleets.reported(name, spans[name], at, version=2)
+        )
+        (action,) = load_router.handle(fleets.arrival(f"r{step}", at=at))
         versions.append(_chain(action).version)
     assert versions == [1, 2, 2, 2]
 
 
 @pytest.mark.parametrize("size", [8, 80])
-def test_a_tick_looks_at_nothing_that_did_not_change(size: int) -> None:
+def test_a_tick_does_not_refresh_unchanged_engines(size: int) -> None:
     spans = {f"e{i}": (0, 4) if i % 2 else (4, 8) for i in range(size)}
-    made = _router(spans)
+    load_router = _router(spans)
     calls = 0
 
     def refresh(name: str) -> None:
         nonlocal calls
         calls += 1
 
-    made.chooser.refresh = refresh  # type: ignore[method-assign]
+    load_router.chooser.refresh = refresh  # type: ignore[method-assign]
     for i in range(10):
-        made.handle(events.Tick(1.0 + i))
+        load_router.handle(events.Tick(1.0 + i))
     assert calls == 0
 
 
-def test_the_same_seed_decides_the_same() -> None:
+def test_equal_seeds_give_equal_decisions() -> None:
     def play() -> list[actions.Action]:
-        made = _router()
+        load_router = _router()
         return [
             action
             for i in range(50)
-            for action in made.handle(fleets.arrival(f"r{i}", at=i * 0.01))
+            for action in load_router.handle(
+                fleets.arrival(f"r{i}", at=i * 0.01)
+            )
         ]
 
     assert play() == play()
 
 
-def test_an_engine_that_was_full_is_asked_again() -> None:
-    """A caller keeps its answer when the only engine was briefly full.
+def test_an_engine_that_was_full_is_tried_again() -> None:
+    """A request survives a briefly full engine without an alternative.
 
-    The engine of a range refuses a stage for want of memory, and nobody
-    else has its layers. Its next report shows room; the stage goes there.
+    The only engine of a range refuses a stage because its memory is full. Its
+    next report shows free capacity, and the stage is sent to it again.
     """
-    made = _router({"a": (0, 4), "b": (4, 8)})
-    (action,) = made.handle(fleets.arrival())
+    load_router = _router({"a": (0, 4), "b": (4, 8)})
+    (action,) = load_router.handle(fleets.arrival())
     failure = events.StageFailed(
         0.1, "r1", _chain(action), 1, events.FailureReason.REFUSED, 16
     )
-    assert made.handle(failure) == []
-    (replace,) = made.handle(fleets.reported("b", (4, 8), at=0.5))
+    assert load_router.handle(failure) == []
+    (replace,) = load_router.handle(fleets.reported("b", (4, 8), at=0.5))
     assert isinstance(replace, actions.Replace)
     assert replace.replacement[0].endpoint == "b"
 
 
-def test_an_engine_that_left_and_went_is_forgotten() -> None:
-    """A change of configuration goes through after an engine has gone.
+def test_an_engine_that_left_and_disappeared_is_removed() -> None:
+    """A configuration is applied after an engine has disappeared.
 
-    An engine first says that it is leaving, so that it serves nothing, and
-    then vanishes from the list of VMs. The next configuration is taken.
+    An engine reports that it is leaving, so that it serves nothing, and then
+    disappears from the VM list. Applying the next configuration must not look
+    it up.
     """
-    made = _router()
+    load_router = _router()
     fleets.feed(
-        made,
+        load_router,
         fleets.reported("b", (4, 8), at=0.1, leaving=True),
         events.EndpointGone(0.2, "b"),
         events.FleetChanged(0.3, fleets.make_fleet(version=2)),
     )
-    assert "b" not in made.chooser.engines
-    (action,) = made.handle(fleets.arrival(at=0.4))
+    assert "b" not in load_router.chooser.engines
+    (action,) = load_router.handle(fleets.arrival(at=0.4))
     assert {s.endpoint for s in _chain(action).stages} == {"a", "c"}
 
 
 def test_an_engine_that_describes_itself_as_instant_is_used() -> None:
-    made = _router({})
+    load_router = _router({})
     seen = fleets.seen("a")
     assert seen.description is not None
     instant = dataclasses.replace(
         seen.description, fixed_s=0.0, per_layer_token_s=0.0, max_batch=0
     )
     fleets.feed(
-        made,
+        load_router,
         dataclasses.replace(seen, description=instant),
         fleets.reported("a", (0, 8)),
         events.CallTimed(0.1, "a", 0.0, 1, 1, 8),
     )
-    (action,) = made.handle(fleets.arrival(at=0.2))
+    (action,) = load_router.handle(fleets.arrival(at=0.2))
     assert _chain(action).stages[0].endpoint == "a"
--- a/tests/policy/test_router_machine.py
+++ b/tests/policy/test_router_machine.py
@@ -1,4 +1,4 @@
-"""The router under any order of events."""
+"""Stateful property test: the router under any order of events."""
 
 from __future__ import annotations
 
@@ -28,10 +28,10 @@
 
 
 class RouterMachine(stateful.RuleBasedStateMachine):
-    """Checks, after each event, what callers may rely on.
+    """Checks the router's guarantees to callers after each event.
 
-    The machine keeps its own simple account of what each engine reported
-    and of where each request stands, and compares the actions with it.
+    The machine keeps a simple model of the engines' reports and of the state
+    of each request, and compares the router's actions with it.
     """
 
     def __init__(self) -> None:
@@ -50,13 +50,13 @@
         self.config = 1
         self.restarts = False
         self.restarted = False
-        self._tell(events.FleetChanged(0.0, fleets.make_fleet()))
+        self._handle(events.FleetChanged(0.0, fleets.make_fleet()))
         for name in NAMES:
-            self._tell(fleets.seen(name))
+            self._handle(fleets.seen(name))
 
     @stateful.rule(name=ENDPOINTS, ready=strategies.booleans())
     def report_again(self, name: str, ready: bool) -> None:
-        """An engine says what it holds."""
+        """An engine reports its holding."""
         self.report(name, ready)
 
     def report(self, name: str, ready: bool) -> None:
@@ -65,7 +65,7 @@
             self.held[name] = (self.version, span)
         else:
             self.held.pop(name, None)
-        self._tell(
+        self._handle(
             fleets.reported(
                 name, span, self.now, version=self.version, ready=ready
             )
@@ -73,7 +73,7 @@
 
     @stateful.initialize(restarts=strategies.booleans())
     def start(self, restarts: bool) -> None:
-        """All engines report, and in half of the runs some restart later."""
+        """All engines report; in half of the runs, some restart later."""
         self.restarts = restarts
         for name in NAMES:
             self.report(name, True)
@@ -81,15 +81,15 @@
     @stateful.precondition(lambda self: self.restarts)
     @stateful.rule(name=ENDPOINTS, leaving=strategies.booleans())
     def restart(self, name: str, leaving: bool) -> None:
-        """An engine goes, and another life of it is seen."""
+        """An engine disappears, and a new instance of it is seen."""
         self.restarted = True
         self.held.pop(name, None)
         if leaving:
-            self._tell(events.EndpointLeaving(self.now, name))
-        self._tell(events.EndpointGone(self.now, name))
+            self._handle(events.EndpointLeaving(self.now, name))
+        self._handle(events.EndpointGone(self.now, name))
         if leaving:
             self.change_version()
-        self._tell(fleets.seen(name, at=self.now))
+        self._handle(fleets.seen(name, at=self.now))
 
     @stateful.rule()
     def change_version(self) -> None:
@@ -97,7 +97,7 @@
         self.version += 1
         self.config += 1
         changed = fleets.make_fleet(self.config, self.version)
-        self._tell(events.FleetChanged(self.now, changed))
+        self._handle(events.FleetChanged(self.now, changed))
 
     @stateful.rule(
         account=strategies.sampled_from(("x", "y")),
@@ -107,12 +107,12 @@
     def arrive(
         self, account: str, priority: fleet.Priority, tokens: int
     ) -> None:
-        """Some requests of one account come in."""
+        """Several requests of one account arrive."""
         for _ in range(8):
             self.count += 1
             request_id = f"r{self.count}"
             self.waiting[request_id] = self.now
-            self._tell(
+            self._handle(
                 fleets.arrival(
                     request_id,
                     at=self.now,
@@ -131,10 +131,10 @@
         del self.running[request_id]
         self.ended.add(request_id)
         if whole:
-            self._tell(events.Progress(self.now, request_id, 1))
-            self._tell(events.Completed(self.now, request_id))
+            self._handle(events.Progress(self.now, request_id, 1))
+            self._handle(events.Completed(self.now, request_id))
         else:
-            self._tell(events.Abandoned(self.now, request_id))
+            self._handle(events.Abandoned(self.now, request_id))
 
     @stateful.precondition(lambda self: self.running)
     @stateful.rule(
@@ -151,7 +151,7 @@
         if reason is events.FailureReason.LEAVING:
             self.held.pop(chain.stages[index].endpoint, None)
         self.recovering[request_id] = (chain, index)
-        self._tell(
+        self._handle(
             events.StageFailed(self.now, request_id, chain, index, reason, 16)
         )
 
@@ -159,15 +159,15 @@
         name=ENDPOINTS, seconds=strategies.sampled_from((0.003, 0.2, 2.0))
     )
     def time_calls(self, name: str, seconds: float) -> None:
-        """Calls to an engine take some time, over a second."""
+        """Calls to an engine are timed, over more than a second."""
         for _ in range(12):
             self.now += 0.1
-            self._tell(events.CallTimed(self.now, name, seconds, 1, 1, 4))
+            self._handle(events.CallTimed(self.now, name, seconds, 1, 1, 4))
 
     @stateful.rule(name=ENDPOINTS, ok=strategies.booleans())
     def answer_probe(self, name: str, ok: bool) -> None:
-        """A probe is answered, wanted or not."""
-        self._tell(events.ProbeAnswered(self.now, name, ok, 0.01))
+        """A probe is answered, whether or not it was requested."""
+        self._handle(events.ProbeAnswered(self.now, name, ok, 0.01))
 
     @stateful.rule(
         node=strategies.sampled_from(("n0", "n1", "n2")),
@@ -177,47 +177,47 @@
     def hear_of_peer(
         self, node: str, in_flight: dict[str, int], gone: bool
     ) -> None:
-        """A peer tells its load, or goes."""
+        """A peer reports its load or disappears."""
         if gone:
-            self._tell(events.PeerGone(self.now, node))
+            self._handle(events.PeerGone(self.now, node))
             return
-        self._tell(events.PeerLoad(self.now, node, in_flight, {"x": 9.0}))
+        self._handle(events.PeerLoad(self.now, node, in_flight, {"x": 9.0}))
 
     @stateful.rule(
         name=ENDPOINTS, numbers=strategies.lists(strategies.integers(1, 9))
     )
     def change_cache(self, name: str, numbers: list[int]) -> None:
-        """Cache events come, with gaps and in any order."""
+        """Cache events arrive, with gaps and in any order."""
         changes = tuple(
             endpoints.CacheEvent(number, 16, number % 2 == 1)
             for number in numbers
         )
-        self._tell(events.CacheChanged(self.now, name, changes))
+        self._handle(events.CacheChanged(self.now, name, changes))
 
     @stateful.rule(seconds=strategies.sampled_from((0.02, 0.5, 3.0)))
     def tick(self, seconds: float) -> None:
         """Time passes."""
         self.now += seconds
-        self._tell(events.Tick(self.now))
+        self._handle(events.Tick(self.now))
 
     @stateful.invariant()
     def nobody_waits_too_long(self) -> None:
-        """Each request is decided, with time to spare."""
+        """Each request is decided within the maximum wait."""
         for since in self.waiting.values():
             assert self.now - since < MAX_WAIT_S
 
     @stateful.invariant()
     def counts_match(self) -> None:
-        """What the router counts as in flight is what is running."""
+        """The router's in-flight counts match the running requests."""
         stages = sum(len(chain.stages) for chain in self.running.values())
         for chain, _ in self.recovering.values():
             stages += len(chain.stages) - 1
         counted = sum(self.router.in_flight().values())
-        # A restarted engine's counts start anew.
+        # The counts of a restarted engine start from zero.
         assert counted <= stages if self.restarted else counted == stages
         assert self.waiting.keys() == self.router.waiting.keys()
 
-    def _tell(self, event: events.Event) -> None:
+    def _handle(self, event: events.Event) -> None:
         for action in self.router.handle(event):
             self._check(action)
 
