--- a/src/almondshift/policy/plain_choice.py
+++ b/src/almondshift/policy/plain_choice.py
@@ -89,12 +89,12 @@
         own = self.own[name]
         if state is ejection.State.TRIAL:
             return own < ejection.MAX_TRIAL_REQUESTS
-        users = self.peers.get(name, {})
+        peer_counts = self.peers.get(name, {})
         allowed = shares.next_share(
             MAX_IN_FLIGHT,
             own,
-            own + sum(users.values()),
-            1 + len(users),
+            own + sum(peer_counts.values()),
+            1 + len(peer_counts),
             1 + self.known_peers,
         )
         return own < max(1.0, allowed)
--- a/tests/policy/test_account_limits.py
+++ b/tests/policy/test_account_limits.py
@@ -23,9 +23,9 @@
                 account_limit.usage_by_account(at) for account_limit in limits
             ]
             for i, account_limit in enumerate(limits):
-                for j, use in enumerate(usage_by_account):
+                for j, usage in enumerate(usage_by_account):
                     if i != j:
-                        account_limit.set_peer_usage(f"n{j}", use)
+                        account_limit.set_peer_usage(f"n{j}", usage)
         for account_limit in limits[:busy]:
             for _ in range(2):
                 if account_limit.charge("a", LIMIT, COST, at) == 0.0:
