--- a/src/almondshift/policy/capacity_shares.py
+++ b/src/almondshift/policy/capacity_shares.py
@@ -1,17 +1,18 @@
-"""Which part of all requests each path should get, and a node's part in it.
+"""Each path's share of all requests, and how a node follows the shares.
 
 Load pattern: hundreds of nodes have a few requests each at a time, fewer than
-there are paths. If each takes the best path it has no request on, the best one
-gets a request of every node: with 200 nodes that is twice what its first engine
-has places for, and callers wait there while slower paths stand nearly empty.
-
-So the requests of all nodes are estimated from the own ones and shared out:
-each path gets as many as make it as dear as the others, and none more than it
-has room for. A node draws a path by how far its own requests fall short of its
-part of that, so that even a few requests of many nodes add up to the shares.
-
-Grounds: what one node has at a moment says little, so demand is its mean over
-some seconds, or what it has now if that is more.
+there are paths. If each takes the best path on which it has no request, the
+best one gets a request of every node. With 200 nodes that is twice the slots of
+its first engine, and callers wait there while slower paths are nearly empty.
+
+So the total number of requests is estimated from this node's own, and is
+distributed such that all paths in use cost the same and none gets more than it
+has room for. A node draws a path at random, weighted by how far its own
+requests on the path fall short of its part of the share. In this way even a few
+requests of each of many nodes add up to the shares.
+
+A node's number of requests at one moment is a poor estimate, so demand is based
+on its mean over some seconds, or on the current number if that is higher.
 """
 
 from __future__ import annotations
@@ -23,17 +24,18 @@
     from collections.abc import Sequence
     import random
 
-ROUNDS = 30
-"""Halvings until the common price is known to a billionth."""
+BISECTION_STEPS = 30
+"""Halvings of the interval that holds the common cost; they narrow it to a
+billionth."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class PathOffer:
-    """A path as it may be chosen.
+class PathOption:
+    """A path that may be chosen.
 
     Attributes:
-        cost: Of an empty path; any unit.
-        capacity: Requests that it has room for, of all nodes.
+        cost: Its cost when empty, in any unit.
+        capacity: Requests of all nodes that it has room for.
         own: This node's requests on it.
     """
 
@@ -43,57 +45,60 @@
 
 
 def shares(
-    offers: Sequence[PathOffer], demand: float, load_weight: float
+    options: Sequence[PathOption], demand: float, load_weight: float
 ) -> list[float]:
-    """Returns how many requests each path should have, of all nodes.
+    """Returns how many requests of all nodes each path should have.
 
-    A path costs ``cost * (1 + load_weight * requests / capacity)``; those that
-    get any cost the same, but for full ones.
+    A path costs ``cost * (1 + load_weight * requests / capacity)``. All paths
+    that get requests cost the same, except for full ones.
 
     Args:
-        offers: The paths, each with some capacity.
+        options: The paths, each with a capacity over 0.
         demand: Requests of all nodes together.
-        load_weight: How much a full path costs over an empty one.
+        load_weight: Relative increase of a path's cost from empty to full.
     """
-    total = sum(offer.capacity for offer in offers)
+    total = sum(option.capacity for option in options)
     if demand >= total:
-        return [offer.capacity * demand / total for offer in offers]
-    low = min(offer.cost for offer in offers)
-    high = max(offer.cost for offer in offers) * (1.0 + load_weight)
-    for _ in range(ROUNDS):
+        return [option.capacity * demand / total for option in options]
+    low = min(option.cost for option in options)
+    high = max(option.cost for option in options) * (1.0 + load_weight)
+    for _ in range(BISECTION_STEPS):
         price = (low + high) / 2
-        if sum(_taken(offer, price, load_weight) for offer in offers) < demand:
+        if (
+            sum(_requests_at(option, price, load_weight) for option in options)
+            < demand
+        ):
             low = price
         else:
             high = price
-    taken = [_taken(offer, high, load_weight) for offer in offers]
+    taken = [_requests_at(option, high, load_weight) for option in options]
     return [share * demand / sum(taken) for share in taken]
 
 
-def drawn(
-    offers: Sequence[PathOffer],
+def draw_path(
+    options: Sequence[PathOption],
     wanted: Sequence[float],
     nodes: int,
     rng: random.Random,
 ) -> int:
-    """Returns the index of the path that a node's next request takes.
+    """Draws the path of a node's next request and returns its index.
 
     Args:
-        offers: The paths.
+        options: The paths.
         wanted: Their requests of all nodes, as ``shares`` returns them.
         nodes: Nodes, this one included.
-        rng: Source of the choice.
+        rng: Source of randomness.
     """
     missing = [
-        max(0.0, total / nodes - offer.own)
-        for offer, total in zip(offers, wanted, strict=True)
+        max(0.0, total / nodes - option.own)
+        for option, total in zip(options, wanted, strict=True)
     ]
     if sum(missing) <= 0.0:
         missing = list(wanted)
-    return rng.choices(range(len(offers)), missing)[0]
+    return rng.choices(range(len(options)), missing)[0]
 
 
-def _taken(offer: PathOffer, price: float, load_weight: float) -> float:
-    """Returns the requests with which a path costs a price."""
-    load = (price / offer.cost - 1.0) / load_weight
-    return offer.capacity * min(1.0, max(0.0, load))
+def _requests_at(option: PathOption, price: float, load_weight: float) -> float:
+    """Returns the number of requests at which a path costs ``price``."""
+    load = (price / option.cost - 1.0) / load_weight
+    return option.capacity * min(1.0, max(0.0, load))
--- a/src/almondshift/policy/endpoint_choice.py
+++ b/src/almondshift/policy/endpoint_choice.py
@@ -1,12 +1,14 @@
-"""Choice among the endpoints of a service that serve a request alone.
-
-Load pattern: a few endpoints with few slots, of which one turns slow, hangs,
-or fails part of its requests while it calls itself healthy. By turns, each
-third request would meet it. Expected time is the smoothed time of answers
-times what is in flight; failures count as slow answers, and fade.
-Grounds: answers take 20 to 90 ms and come about once a second at a node, so
-a memory of eight answers reacts within some seconds. The lowest of the others
-bounds what is called slow, so that a busy service ejects nobody.
+"""Choice among the endpoints of a service that each run whole requests.
+
+Load pattern: a few endpoints with few slots, one of which becomes slow, hangs,
+or fails some of its requests while it reports itself healthy. With round-robin
+each third request would go to it. So the endpoint with the lowest expected time
+is chosen: the smoothed time of its answers, multiplied by one more than its
+requests in flight. Failures count as slow answers, and their effect decays.
+
+Answers take 20 to 90 ms and arrive about once a second at a node, so that an
+average over about eight answers reacts within some seconds. Endpoints are only
+compared with each other, so that none is ejected when all are busy.
 """
 
 from __future__ import annotations
@@ -22,47 +24,48 @@
     from almondshift.model import registered_engines
 
 SMOOTHING = 0.25
-"""Weight of the newest answer."""
+"""Weight of the newest answer in the moving average."""
 
-FIRST_S = 0.05
-"""Expected time of an endpoint that has not answered yet."""
+INITIAL_S = 0.05
+"""Expected time of an endpoint that has not answered yet, in seconds."""
 
 FAILURE_S = 1.0
-"""Time that a failure counts for; ten times a usual answer."""
+"""Time as which a failure counts, in seconds; ten times a usual answer."""
 
 RECOVERY_S = 4.0
-"""Time constant with which a bad record fades, so that an endpoint that
-mended is tried again within seconds."""
+"""Half-life of the excess over ``INITIAL_S``, in seconds, so that an endpoint
+that recovered is tried again within seconds."""
 
-MISS_S = 1.0
-"""An endpoint that could not be reached is passed over for so long."""
+UNREACHABLE_S = 1.0
+"""Time for which an unreachable endpoint is avoided, in seconds."""
 
 
 @dataclasses.dataclass(slots=True)
 class EndpointRecord:
-    """What this node saw of an endpoint.
+    """What this node observed of an endpoint.
 
     Attributes:
+        in_flight: Requests that were sent and have not ended.
         expected_s: Smoothed time of its answers.
-        at: When that was updated.
-        missed_until: It could not be reached.
+        at: When that was updated; monotonic seconds.
+        unreachable_until: End of the time for which it is avoided.
     """
 
     in_flight: int = 0
-    expected_s: float = FIRST_S
+    expected_s: float = INITIAL_S
     at: float = 0.0
-    missed_until: float = 0.0
+    unreachable_until: float = 0.0
 
 
 class EndpointChooser:
-    """Keeps records and chooses."""
+    """Keeps records of endpoints and chooses among them."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
         self.records: dict[str, EndpointRecord] = {}
 
     def record(self, instance: str) -> EndpointRecord:
-        """Returns the record of an endpoint, made if new."""
+        """Returns the record of an endpoint; creates it if needed."""
         found = self.records.get(instance)
         if found is None:
             found = self.records[instance] = EndpointRecord()
@@ -77,15 +80,15 @@
         """Returns the endpoint with the least expected time, or None.
 
         Args:
-            endpoints: Those that may be used.
-            zone: Preferred among equals.
+            endpoints: The endpoints that may be used.
+            zone: This node's zone, preferred among equal endpoints.
             now: Monotonic seconds.
         """
         best = None
         best_score = 0.0
         for endpoint in endpoints:
             record = self.record(endpoint.instance)
-            if record.missed_until > now and len(endpoints) > 1:
+            if record.unreachable_until > now and len(endpoints) > 1:
                 continue
             score = self.expected(record, now) * (1 + record.in_flight)
             score *= self.rng.uniform(1.0, 1.3)
@@ -95,30 +98,30 @@
         return best
 
     def expected(self, record: EndpointRecord, now: float) -> float:
-        """Returns the expected time of an answer; bad records fade."""
+        """Returns the expected time of an answer, with the excess decayed."""
         age = max(0.0, now - record.at)
-        excess = max(0.0, record.expected_s - FIRST_S)
-        return FIRST_S + excess * math.exp2(-age / RECOVERY_S)
+        excess = max(0.0, record.expected_s - INITIAL_S)
+        return INITIAL_S + excess * math.exp2(-age / RECOVERY_S)
 
     def started(self, instance: str) -> None:
-        """Notes a request sent."""
+        """Records that a request was sent."""
         self.record(instance).in_flight += 1
 
     def answered(self, instance: str, seconds: float, now: float) -> None:
-        """Notes an answer that is worth having."""
+        """Records a usable answer."""
         self._note(instance, seconds, now)
 
     def failed(self, instance: str, now: float) -> None:
-        """Notes a failure."""
+        """Records a failure."""
         self._note(instance, FAILURE_S, now)
 
     def missed(self, instance: str, now: float) -> None:
-        """Notes that it could not be reached."""
+        """Records that the endpoint could not be reached."""
         self._note(instance, FAILURE_S, now)
-        self.record(instance).missed_until = now + MISS_S
+        self.record(instance).unreachable_until = now + UNREACHABLE_S
 
     def cancelled(self, instance: str) -> None:
-        """Notes that a request was given up."""
+        """Records that a request was abandoned."""
         self.record(instance).in_flight -= 1
 
     def forget(self, instance: str) -> None:
--- a/src/almondshift/policy/engine_book.py
+++ b/src/almondshift/policy/engine_book.py
@@ -1,9 +1,9 @@
 """This node's view of engines: its own load on them, and their health.
 
-Load pattern: reports are delayed, so an engine that looks idle in one is filled
-by all nodes before the next; and a dead engine stays registered for seconds.
-The node counts its own requests at once and assumes the same load of every
-other node, since callers choose nodes at random.
+Load pattern: reports are delayed, so that an engine which looks idle in one
+report is filled by all nodes before the next. A dead engine stays registered
+for seconds. The node counts its own requests at once and assumes the same load
+for every other node, since callers choose nodes at random.
 """
 
 from __future__ import annotations
@@ -12,24 +12,26 @@
 import enum
 
 SUSPECT_S = 3.0
-"""Time without work for an engine that did not answer, in seconds; it must then
-answer first. Covers the delay until the registry drops a dead engine."""
+"""Time for which an engine that did not answer gets no work, in seconds. It
+must then answer before it gets any. Covers the delay until the registry drops a
+dead engine."""
 
 PACE_MEMORY_S = 4.0
 """Validity of a report of slowness, in seconds."""
 
-USED_S = 1.0
+USED_VALID_S = 1.0
 """Validity of a report of memory in use, in seconds; short against the duration
 of a request."""
 
-GROWTH = 1.25
-"""Expected final memory of running requests, relative to their present use."""
+MEMORY_GROWTH = 1.25
+"""Expected final memory of running requests, as a multiple of their present
+use."""
 
 SLOW_PACE = 4.0
-"""Slowdown from which an engine is avoided: a stage that was lightly loaded is
-then nearly saturated and delays the whole path."""
+"""Slowdown from which an engine is avoided: even a lightly loaded stage is then
+nearly saturated and delays the whole path."""
 
-UNHEARD_S = 4.0
+NO_FIRST_EVENT_S = 4.0
 """Time for which a first engine is avoided after a caller abandoned a stream
 without a first event, in seconds."""
 
@@ -50,20 +52,25 @@
 
 @dataclasses.dataclass(slots=True)
 class EngineState:
-    """Beliefs about one start of an engine.
+    """What this node knows of one start of an engine.
+
+    Times are monotonic seconds.
 
     Attributes:
-        running: Own requests that use it.
-        first_running: Own requests that it is first for.
-        layer_tokens: Own memory on it, in tokens times layers.
-        pace: Over 1 if it is slow.
-        suspect_until: Gets no work before; then it has to answer first.
+        running: This node's requests that use it.
+        first_running: This node's requests whose first engine it is.
+        layer_tokens: Memory of this node's requests on it, in tokens times
+            layers.
+        pace: Factor by which it is slowed down; 1 if it is not.
+        pace_until: End of the validity of ``pace``.
+        suspect_until: Until when it is not tried again if suspect.
         reason: Why it is suspect; None if it is not.
-        full_until: It refused for want of room.
-        unheard_until: Callers left it without a first event.
-        reported: Memory in use by its own report, in tokens times layers.
-        reported_at: When it said so.
-        own_at_report: Own memory on it at that time.
+        full_until: Until when it is avoided, since it had no room.
+        no_first_event_until: Until when it is avoided as first engine, since
+            callers left without a first event.
+        reported: Expected memory by its own report, in tokens times layers.
+        reported_at: When the report came.
+        own_at_report: ``layer_tokens`` at that time.
     """
 
     running: int = 0
@@ -74,15 +81,15 @@
     suspect_until: float = 0.0
     reason: Suspicion | None = None
     full_until: float = 0.0
-    unheard_until: float = 0.0
+    no_first_event_until: float = 0.0
     reported: float = 0.0
-    reported_at: float = -USED_S
+    reported_at: float = -USED_VALID_S
     own_at_report: float = 0.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UsedPart:
-    """A part of a request's path, to be counted.
+    """A part of a request's path whose load is counted.
 
     Attributes:
         layers: Number of layers.
@@ -93,10 +100,11 @@
 
 
 class EngineBook:
-    """Beliefs about all engines.
+    """Keeps the states of all engines.
 
     Attributes:
-        changes: Grows with each change of health, not of load.
+        states: By instance.
+        changes: Increases with each change of health, not of load.
     """
 
     def __init__(self) -> None:
@@ -104,14 +112,14 @@
         self.changes = 0
 
     def state(self, instance: str) -> EngineState:
-        """Returns the beliefs about an engine, made if new."""
+        """Returns the state of an engine; creates it if needed."""
         found = self.states.get(instance)
         if found is None:
             found = self.states[instance] = EngineState()
         return found
 
     def add(self, parts: tuple[UsedPart, ...], tokens: float) -> None:
-        """Counts a request."""
+        """Adds the load of a request."""
         for index, part in enumerate(parts):
             state = self.state(part.instance)
             state.running += 1
@@ -119,7 +127,7 @@
             state.layer_tokens += part.layers * tokens
 
     def remove(self, parts: tuple[UsedPart, ...], tokens: float) -> None:
-        """Takes a counted request out."""
+        """Removes the load of a request."""
         for index, part in enumerate(parts):
             state = self.states.get(part.instance)
             if state is None:
@@ -129,31 +137,31 @@
             state.layer_tokens -= part.layers * tokens
 
     def suspect(self, instance: str, reason: Suspicion, now: float) -> bool:
-        """Notes that an engine seems dead; returns whether that is news."""
+        """Marks an engine as suspect; returns whether that is a change."""
         state = self.state(instance)
-        is_news = state.reason is None or (
+        is_change = state.reason is None or (
             state.reason is Suspicion.DRAINING and reason is not state.reason
         )
         state.reason = reason
         state.suspect_until = now + SUSPECT_S
-        if is_news:
+        if is_change:
             self.changes += 1
-        return is_news
+        return is_change
 
     def trust(self, instance: str) -> None:
-        """Notes that a suspect engine answers again."""
+        """Clears the suspicion of an engine that answers again."""
         state = self.state(instance)
         if state.reason is not None:
             state.reason = None
             self.changes += 1
 
     def is_suspect(self, instance: str) -> bool:
-        """Returns whether an engine gets no work."""
+        """Returns whether an engine is suspect and gets no work."""
         state = self.states.get(instance)
         return state is not None and state.reason is not None
 
     def is_lost(self, instance: str) -> bool:
-        """Returns whether an engine seems dead; one that drains still runs."""
+        """Returns whether an engine seems dead; a draining one still runs."""
         state = self.states.get(instance)
         return state is not None and state.reason not in (
             None,
@@ -161,7 +169,7 @@
         )
 
     def due_for_trial(self, now: float) -> list[str]:
-        """Returns suspects that may be asked whether they live."""
+        """Returns suspect engines that may be probed again."""
         return [
             instance
             for instance, state in self.states.items()
@@ -169,65 +177,65 @@
         ]
 
     def note_used(self, instance: str, used: float, now: float) -> None:
-        """Notes how much memory is in use on an engine by its report."""
+        """Records the memory in use that an engine reports."""
         state = self.state(instance)
-        state.reported = used * GROWTH
+        state.reported = used * MEMORY_GROWTH
         state.reported_at = now
         state.own_at_report = state.layer_tokens
 
     def used(
-        self, instance: str, estimate: float, alike: int, now: float
+        self, instance: str, estimate: float, counted_nodes: int, now: float
     ) -> float:
-        """Returns the memory believed in use, in tokens times layers.
+        """Returns the estimated memory in use, in tokens times layers.
 
-        An estimate from own requests is off by a third where a few of them
-        stand for each node; a fresh report with what was added here since
-        goes before it.
+        An estimate extrapolated from a few own requests is off by a third. A
+        fresh report, plus what was added since, is preferred to it.
 
         Args:
             instance: The engine.
-            estimate: What all nodes together seem to have there.
-            alike: Nodes that are taken to have added as much as this one.
+            estimate: Memory of all nodes' requests, if there is no report.
+            counted_nodes: Number of nodes, this one included, that are assumed
+                to have added as much as this one.
             now: Monotonic seconds.
         """
         state = self.states.get(instance)
-        if state is None or not self.is_reported(instance, now):
+        if state is None or not self.has_fresh_report(instance, now):
             return estimate
-        added = (state.layer_tokens - state.own_at_report) * alike
+        added = (state.layer_tokens - state.own_at_report) * counted_nodes
         return max(state.layer_tokens, state.reported + added)
 
-    def is_reported(self, instance: str, now: float) -> bool:
-        """Returns whether an engine's own word of its memory is believed."""
+    def has_fresh_report(self, instance: str, now: float) -> bool:
+        """Returns whether an engine's latest report of its memory is valid."""
         state = self.states.get(instance)
-        return state is not None and now - state.reported_at < USED_S
+        return state is not None and now - state.reported_at < USED_VALID_S
 
     def note_full(self, instance: str, now: float) -> None:
-        """Notes that an engine had no room."""
+        """Records that an engine had no room."""
         self.state(instance).full_until = now + FULL_S
         self.changes += 1
 
     def is_full(self, instance: str, now: float) -> bool:
-        """Returns whether an engine refused lately for want of room."""
+        """Returns whether an engine lately refused a request without room."""
         state = self.states.get(instance)
         return state is not None and state.full_until > now
 
     def note_unheard(self, instance: str, now: float) -> None:
-        """Notes that a caller left who had waited for a first event.
+        """Records that a caller abandoned its wait for a first event.
 
-        The engine may answer questions as ever: its requests wait for passes,
-        of its own or of the engines behind it. Otherwise it would go on
-        getting its part of the requests, and as many callers would leave.
+        The engine may still answer queries while its requests wait for
+        batches, its own or those of later engines. If it kept its share of
+        the requests, as many more callers would leave.
         """
-        self.state(instance).unheard_until = now + UNHEARD_S
+        self.state(instance).no_first_event_until = now + NO_FIRST_EVENT_S
         self.changes += 1
 
     def is_unheard(self, instance: str, now: float) -> bool:
-        """Returns whether callers left an engine without a first event."""
+        """Returns whether callers lately left without a first event."""
         state = self.states.get(instance)
-        return state is not None and state.unheard_until > now
+        return state is not None and state.no_first_event_until > now
 
     def note_pace(self, instance: str, pace: float, now: float) -> None:
-        """Notes how slow an engine says it is."""
+        """Records the slowdown that an engine reports."""
         state = self.state(instance)
         if abs(state.pace - pace) > 0.2 * state.pace:
             self.changes += 1
@@ -235,18 +243,18 @@
         state.pace_until = now + PACE_MEMORY_S
 
     def pace(self, instance: str, now: float) -> float:
-        """Returns how slow an engine is believed to be; 1 if it is not."""
+        """Returns by which factor an engine is slowed down; 1 if unknown."""
         state = self.states.get(instance)
         if state is None or state.pace_until <= now:
             return 1.0
         return state.pace
 
     def is_slow(self, instance: str, now: float) -> bool:
-        """Returns whether an engine should be passed over if others can."""
+        """Returns whether an engine should be avoided if others can serve."""
         return self.pace(instance, now) >= SLOW_PACE
 
     def slow_engines(self, now: float) -> list[str]:
-        """Returns the engines that are believed to be slow."""
+        """Returns the engines that are known to be slow."""
         return [i for i in self.states if self.is_slow(i, now)]
 
     def forget(self, instance: str) -> None:
--- a/src/almondshift/policy/engine_sample.py
+++ b/src/almondshift/policy/engine_sample.py
@@ -1,11 +1,11 @@
-"""A bounded sample of the engines, for the search of paths.
+"""A bounded sample of the engines, for the path search.
 
 Load pattern: thousands of engines, of which dozens in each zone have the same
 accelerator and hold the same layers. A search over all of them for each arrival
-is most of a node's work.
+takes most of a node's CPU time.
 
-Engines of such a group are interchangeable, so a random few of each are
-searched. Nodes draw different ones, which also spreads their requests.
+Engines of such a group are interchangeable, so the search uses a few random
+ones of each. Nodes draw different ones, which also spreads their requests.
 """
 
 from __future__ import annotations
@@ -19,15 +19,15 @@
 
     from almondshift.model import registered_engines
 
-MOST_ALIKE = 6
-"""Engines searched of each group: one for each path that a zone offers, and one
-more in case that a sampled engine is full or slow."""
+MAX_PER_GROUP = 6
+"""Engines of each group that are searched: one for each path of a zone, and one
+more in case a sampled engine is full or slow."""
 
 Group = list["registered_engines.RegisteredEngine"]
-"""Engines of one zone, accelerator and range of layers."""
+"""Engines with the same zone, accelerator and range of layers."""
 
 
-def grouped(
+def group_engines(
     engines: Iterable[registered_engines.RegisteredEngine],
 ) -> list[Group]:
     """Returns the engines by zone, accelerator and range of layers."""
@@ -41,17 +41,17 @@
     return list(groups.values())
 
 
-def sampled(groups: Sequence[Group], rng: random.Random) -> Group:
+def sample_engines(groups: Sequence[Group], rng: random.Random) -> Group:
     """Returns up to ``MOST_ALIKE`` engines of each group."""
     found: Group = []
     for group in groups:
-        if len(group) > MOST_ALIKE:
-            found += rng.sample(group, MOST_ALIKE)
+        if len(group) > MAX_PER_GROUP:
+            found += rng.sample(group, MAX_PER_GROUP)
         else:
             found += group
     return found
 
 
-def leaves_out(groups: Sequence[Group]) -> bool:
-    """Returns whether a sample lacks some of the engines."""
-    return any(len(group) > MOST_ALIKE for group in groups)
+def omits_any(groups: Sequence[Group]) -> bool:
+    """Returns whether a sample omits some of the engines."""
+    return any(len(group) > MAX_PER_GROUP for group in groups)
--- a/src/almondshift/policy/path_candidates.py
+++ b/src/almondshift/policy/path_candidates.py
@@ -1,8 +1,8 @@
 """The engines that a path may use, with their expected cost and memory.
 
-Costs follow from the published step time, the accelerator, the engine's pace
-and this node's estimate of the requests that share its batches. Engines that
-are suspect, leaving or full are left out.
+The cost is derived from the published step time, the accelerator, the engine's
+reported slowdown and this node's estimate of the requests that share its
+batches. Engines that are suspect, leaving or full are excluded.
 """
 
 from __future__ import annotations
@@ -22,19 +22,20 @@
     from almondshift.model import registered_engines
     from almondshift.policy import engine_book
 
-SPREAD = 0.5
-"""Random factor applied to each engine's cost in large groups, where a node has
-too few requests of its own to tell busy engines from idle ones. Engines that
-are twice as slow still rank behind."""
+LARGE_GROUP_JITTER = 0.5
+"""Maximum relative random increase of each engine's cost in large groups, where
+a node has too few requests of its own to tell busy engines from idle ones.
+Engines that are twice as slow still rank lower."""
 
-GUESS_DOUBT = 2.0
+ESTIMATE_TOLERANCE = 2.0
 """Estimated memory use, as a multiple of capacity, above which a request is
 refused without asking the engine. Estimates extrapolate from this node's few
-requests; a caller that is refused wrongly is late for certain, while an engine
-without room refuses within milliseconds."""
+requests. A wrong refusal always makes its caller late, while an engine without
+room refuses within milliseconds."""
 
-BATCH_SHARE = 2.0
-"""Time that a request spends at an engine, relative to its time in batches."""
+BATCH_WAIT_FACTOR = 2.0
+"""Time that a request spends at an engine, as a multiple of its time in
+batches."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -42,7 +43,7 @@
     """The engines of a service as registered.
 
     Attributes:
-        version: Grows with each change of registrations.
+        version: Increases with each change of registrations.
     """
 
     service: str
@@ -52,8 +53,11 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Live:
-    """The engines that hold layers and are not suspect, full or not."""
+class _LiveEngines:
+    """Engines that hold layers and are neither suspect nor leaving.
+
+    Full engines are included.
+    """
 
     engines: list[registered_engines.RegisteredEngine]
     groups: list[engine_sample.Group]
@@ -62,11 +66,12 @@
 
 
 class PathCandidates:
-    """Keeps what is known of a service's engines between arrivals.
+    """Selects candidates, and caches data of the engines between requests.
 
     Attributes:
         nodes: Nodes that share the engines, this one included.
-        usual: This node's usual number of requests, by service.
+        mean_requests: This node's mean number of requests, by service.
+        live: Usable engines, by service, until health or registrations change.
     """
 
     def __init__(
@@ -75,10 +80,10 @@
         self.book = book
         self.rng = rng
         self.nodes = 1
-        self.usual: dict[str, pooled_load.UsualRequests] = {}
-        self.live: dict[str, _Live] = {}
+        self.mean_requests: dict[str, pooled_load.MeanRequests] = {}
+        self.live: dict[str, _LiveEngines] = {}
 
-    def found(
+    def find(
         self,
         view: FleetView,
         now: float,
@@ -90,16 +95,16 @@
         Args:
             view: The engines.
             now: Monotonic seconds.
-            kept: Engines that hold a request already. They have its memory
-                also when they are full; left out, a request that lost one
+            kept: Engines that run the request already. They hold its memory
+                even when they are full; without them, a request that lost one
                 engine would have to leave the others too.
-            is_sampled: Whether a sample of large groups will do.
+            is_sampled: Whether large groups are sampled.
         """
         load = self.load(view, now)
-        known = self._live(view)
+        known = self._live_engines(view)
         engines = known.engines
         if is_sampled:
-            engines = engine_sample.sampled(known.groups, self.rng)
+            engines = engine_sample.sample_engines(known.groups, self.rng)
             missing = kept.difference(engine.instance for engine in engines)
             if missing:
                 engines += [e for e in known.engines if e.instance in missing]
@@ -114,18 +119,18 @@
             found.append(candidate)
         return found
 
-    def sets(
+    def candidate_sets(
         self,
         view: FleetView,
         now: float,
         kept: frozenset[str] = frozenset(),
     ) -> Iterator[list[path_search.Candidate]]:
-        """Yields a sample of the candidates, then all if it left some out."""
-        yield self.found(view, now, kept)
-        if engine_sample.leaves_out(self._live(view).groups):
-            yield self.found(view, now, kept, is_sampled=False)
+        """Yields a sample of the candidates, then all if some were omitted."""
+        yield self.find(view, now, kept)
+        if engine_sample.omits_any(self._live_engines(view).groups):
+            yield self.find(view, now, kept, is_sampled=False)
 
-    def _live(self, view: FleetView) -> _Live:
+    def _live_engines(self, view: FleetView) -> _LiveEngines:
         version = (view.version, self.book.changes)
         known = self.live.get(view.service)
         if known is not None and known.version == version:
@@ -148,17 +153,19 @@
             if e.layers is not None
         ]
         shares = pooled_load.engine_shares(holdings, view.spec.layers)
-        groups = engine_sample.grouped(engines)
-        known = _Live(engines, groups, shares, version)
+        groups = engine_sample.group_engines(engines)
+        known = _LiveEngines(engines, groups, shares, version)
         self.live[view.service] = known
         return known
 
     def load(self, view: FleetView, now: float) -> pooled_load.FleetLoad:
-        """Returns what all nodes are believed to have on the engines."""
-        shares = self._live(view).shares
-        usual = self.usual.setdefault(view.service, pooled_load.UsualRequests())
+        """Returns the estimated load of all nodes on the engines."""
+        shares = self._live_engines(view).shares
+        mean_requests = self.mean_requests.setdefault(
+            view.service, pooled_load.MeanRequests()
+        )
         return pooled_load.FleetLoad(
-            self.book, shares, view.spec.layers, self.nodes, usual, now
+            self.book, shares, view.spec.layers, self.nodes, mean_requests, now
         )
 
     def _candidate(
@@ -170,10 +177,10 @@
         assert engine.layers is not None
         held = engine.layers.count
         running = load.own_running(engine.instance)
-        if self.draws(spec):
+        if self.chooses_by_share(spec):
             running = load.running(engine.instance)
         factor = _step_factor(engine.kind, spec)
-        batch = running * held / spec.layers * BATCH_SHARE
+        batch = running * held / spec.layers * BATCH_WAIT_FACTOR
         context_k = (spec.usual_prompt + spec.usual_answer / 2) / 1000
         per_request = spec.step_ms_per_request
         per_request += spec.step_ms_per_kilotoken * context_k
@@ -185,24 +192,31 @@
             zone=engine.zone,
             start=engine.layers.start,
             end=engine.layers.end,
-            layer_ms=factor * pace * step_ms / spec.layers * self._spread(),
+            layer_ms=factor * pace * step_ms / spec.layers * self._jitter(),
             room=spec.layer_token_room(engine.kind, held),
             used=load.used(engine.instance, held)
-            / self.doubt(engine.instance, load.now),
+            / self.tolerance(engine.instance, load.now),
             may_be_first=load.first(engine.instance) < engine.slots,
         )
 
-    def doubt(self, instance: str, now: float) -> float:
-        """Returns how far a belief of an engine's memory in use may be off."""
-        return 1.0 if self.book.is_reported(instance, now) else GUESS_DOUBT
+    def tolerance(self, instance: str, now: float) -> float:
+        """Returns by which factor estimated memory use may exceed capacity."""
+        return (
+            1.0
+            if self.book.has_fresh_report(instance, now)
+            else ESTIMATE_TOLERANCE
+        )
 
-    def _spread(self) -> float:
+    def _jitter(self) -> float:
         if self.nodes <= pooled_load.MANY_NODES:
             return 1.0
-        return self.rng.uniform(1.0, 1.0 + SPREAD)
+        return self.rng.uniform(1.0, 1.0 + LARGE_GROUP_JITTER)
+
+    def chooses_by_share(self, spec: engine_specs.EngineSpec) -> bool:
+        """Returns whether one request of each node would overload a path.
 
-    def draws(self, spec: engine_specs.EngineSpec) -> bool:
-        """Returns whether one request of each node is too much for a path."""
+        Paths are then drawn by their shares of all requests.
+        """
         return self.nodes > spec.slots
 
 
--- a/src/almondshift/policy/path_choice.py
+++ b/src/almondshift/policy/path_choice.py
@@ -2,9 +2,9 @@
 
 Load pattern: a burst, or the loss of engines, brings more requests than
 engines have memory for. Engines then preempt the newest requests and prefill
-them again, and all streams stall. A request is admitted only to a path whose
-engines all have room by this node's estimate, and is refused at once if none
-has, while its caller has time to retry.
+them again, and all streams stall. A request is admitted only if this node
+estimates that every engine of some path has room for it. Otherwise it is
+refused at once, while its caller still has time to retry.
 
 Candidate paths are cached between searches, since a search costs more than
 the rest of an arrival.
@@ -31,18 +31,20 @@
 
     from almondshift.model import engine_specs
 
-TIGHT_SHARE = 0.6
-"""Utilisation estimate above which an engine is queried for its actual load."""
+NEARLY_FULL_SHARE = 0.6
+"""Estimated utilisation above which an engine is queried for its actual one."""
 
 REFRESH_S = 0.25
 """Maximum age of cached paths, in seconds."""
 
 REFRESH_S_PER_ENGINE = 0.0008
-"""The same for each engine of a service, if that is longer. The cost of a
-search grows with the engines; this bounds its share of a core."""
+"""Maximum age of cached paths per engine of a service, in seconds; the longer
+of the two applies. The cost of a search grows with the number of engines, and
+this bounds its share of a core."""
 
-JITTER = 0.1
-"""Random factor applied to costs so that nodes with equal views spread."""
+COST_JITTER = 0.1
+"""Maximum relative random increase of a path's cost, so that nodes with equal
+views choose different paths."""
 
 LOAD_WEIGHT = 4.0
 """Cost of a full path relative to an empty one. Without it the zone with the
@@ -50,21 +52,24 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Cached:
+class _CachedPaths:
     paths: list[path_search.FoundPath]
-    at: float
+    searched_at: float
     version: tuple[int, int]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ChosenPath:
-    """A path, and what to count for it.
+    """A path, and the load to account for it.
 
     Attributes:
-        load: Fullest engine's share of memory in use, with the request; by
-            the own requests alone if that is more, and then over 1 at times.
+        used: Its engines and their numbers of layers.
+        cost_ms: Expected time of a step.
+        load: Memory utilisation of its fullest engine, with the request. Taken
+            from this node's own requests if that estimate is higher, which
+            may exceed 1.
         crossings: How often the path changes the availability zone.
-        rooms: Tokens that fit on each part beside nothing else.
+        rooms: Tokens that fit on each part when its engine is empty.
     """
 
     path: relayed.Path
@@ -80,9 +85,11 @@
     """Chooses paths.
 
     Attributes:
+        book: State of the engines as this node sees it.
         candidates: The engines that paths may use.
         tight: Addresses of engines that seem nearly full, by instance, until
             they are queried.
+        cached: Result of the latest search, by service.
     """
 
     def __init__(
@@ -92,7 +99,7 @@
         self.rng = rng
         self.candidates = path_candidates.PathCandidates(book, rng)
         self.tight: dict[str, str] = {}
-        self.cached: dict[str, _Cached] = {}
+        self.cached: dict[str, _CachedPaths] = {}
 
     @property
     def nodes(self) -> int:
@@ -116,53 +123,53 @@
             view: The engines.
             tokens: Memory that the request needs, in tokens.
             now: Monotonic seconds.
-            avoid: Engines that may not be first.
+            avoid: Engines that may not be the first of the path.
         """
         load = self.candidates.load(view, now)
         fitting = [
             chosen
-            for found in self._paths(view, now)
-            if (chosen := self._fitting(found, view.spec, tokens, load))
+            for found in self._current_paths(view, now)
+            if (chosen := self._check_fit(found, view.spec, tokens, load))
             and chosen.path[0].instance not in avoid
         ]
-        if fitting and self.candidates.draws(view.spec):
-            return self._drawn(fitting, view.spec, tokens, load)
+        if fitting and self.candidates.chooses_by_share(view.spec):
+            return self._choose_by_share(fitting, view.spec, tokens, load)
         best: ChosenPath | None = None
         best_rank = (False, 0.0)
         for chosen in fitting:
             score = chosen.cost_ms * (1.0 + LOAD_WEIGHT * chosen.load)
-            score *= self.rng.uniform(1.0, 1.0 + JITTER)
-            # Ranked last and not left out, since the estimate may be wrong.
-            is_crowded = load.first_soon(chosen.path[0].instance) > (
+            score *= self.rng.uniform(1.0, 1.0 + COST_JITTER)
+            # Ranked last rather than excluded: the estimate may be wrong.
+            is_crowded = load.first_after_next(chosen.path[0].instance) > (
                 view.spec.slots
             )
             if best is None or (is_crowded, score) < best_rank:
                 best, best_rank = chosen, (is_crowded, score)
         return best
 
-    def _drawn(
+    def _choose_by_share(
         self,
         fitting: list[ChosenPath],
         spec: engine_specs.EngineSpec,
         tokens: float,
         load: pooled_load.FleetLoad,
     ) -> ChosenPath:
-        """Returns a path by its share of what all nodes send."""
+        """Draws a path by its share of the requests of all nodes."""
         uses = collections.Counter(
             part.instance for chosen in fitting for part in chosen.path
         )
-        offers = [
-            capacity_shares.PathOffer(
+        options = [
+            capacity_shares.PathOption(
                 chosen.cost_ms,
-                _capacity(chosen, spec, tokens, uses),
+                _path_capacity(chosen, spec, tokens, uses),
                 load.own_first(chosen.path[0].instance),
             )
             for chosen in fitting
         ]
         own = load.own_requests
-        demand = max(load.usual.mean, own + 1.0) * self.nodes
-        wanted = capacity_shares.shares(offers, demand, LOAD_WEIGHT)
-        index = capacity_shares.drawn(offers, wanted, self.nodes, self.rng)
+        demand = max(load.mean_requests.mean, own + 1.0) * self.nodes
+        wanted = capacity_shares.shares(options, demand, LOAD_WEIGHT)
+        index = capacity_shares.draw_path(options, wanted, self.nodes, self.rng)
         return fitting[index]
 
     def move(
@@ -173,16 +180,24 @@
         now: float,
         avoid: frozenset[str] = frozenset(),
     ) -> ChosenPath | None:
-        """Returns another path with the same first part, or None."""
+        """Returns another path with the same first part, or None.
+
+        Args:
+            view: The engines.
+            path: The present path of the request.
+            tokens: Memory that the request needs, in tokens.
+            now: Monotonic seconds.
+            avoid: Engines that may not be used.
+        """
         kept = frozenset(p.instance for p in path)
-        for candidates in self.candidates.sets(view, now, kept):
+        for candidates in self.candidates.candidate_sets(view, now, kept):
             usable = [c for c in candidates if c.instance not in avoid]
-            found = self._moved(view, path, tokens, now, usable)
+            found = self._move_over(view, path, tokens, now, usable)
             if found is not None:
                 return found
         return None
 
-    def _moved(
+    def _move_over(
         self,
         view: path_candidates.FleetView,
         path: relayed.Path,
@@ -199,18 +214,16 @@
         if start is None:
             return None
         part = path_search.FoundPart(start, first.start, first.end)
-        quick = [
-            c for c in candidates if not self.book.is_slow(c.instance, now)
-        ]
-        for usable in (quick, candidates):
+        fast = [c for c in candidates if not self.book.is_slow(c.instance, now)]
+        for usable in (fast, candidates):
             found = path_search.find_path(
                 usable, view.spec.layers, tokens, first=part, kept=kept
             )
             if found is not None:
-                return _chosen(found, 0.0)
+                return _to_chosen_path(found, 0.0)
         return None
 
-    def _paths(
+    def _current_paths(
         self, view: path_candidates.FleetView, now: float
     ) -> list[path_search.FoundPath]:
         version = (view.version, self.book.changes)
@@ -218,32 +231,32 @@
         if (
             kept is not None
             and kept.version == version
-            and now - kept.at < refresh_s(len(view.engines))
+            and now - kept.searched_at < refresh_s(len(view.engines))
         ):
             return kept.paths
         paths = self._search(view, now)
-        self.cached[view.service] = _Cached(paths, now, version)
+        self.cached[view.service] = _CachedPaths(paths, now, version)
         return paths
 
     def _search(
         self, view: path_candidates.FleetView, now: float
     ) -> list[path_search.FoundPath]:
         tokens = view.spec.usual_prompt + view.spec.usual_answer
-        for candidates in self.candidates.sets(view, now):
-            quick = [
+        for candidates in self.candidates.candidate_sets(view, now):
+            preferred = [
                 c
                 for c in candidates
                 if not self.book.is_slow(c.instance, now)
                 and not self.book.is_unheard(c.instance, now)
             ]
-            paths = zone_paths.found(
-                candidates, quick, view.spec.layers, tokens
+            paths = zone_paths.find_paths(
+                candidates, preferred, view.spec.layers, tokens
             )
             if paths:
                 return paths
         return []
 
-    def _fitting(
+    def _check_fit(
         self,
         found: path_search.FoundPath,
         spec: engine_specs.EngineSpec,
@@ -260,47 +273,48 @@
             share = need / room
             fullest = max(fullest, share)
             own = max(own, load.own_share(candidate.instance, room))
-            doubt = self.candidates.doubt(candidate.instance, load.now)
-            over = max(over, share / doubt)
-            if share > TIGHT_SHARE:
+            tolerance = self.candidates.tolerance(candidate.instance, load.now)
+            over = max(over, share / tolerance)
+            if share > NEARLY_FULL_SHARE:
                 self.tight[candidate.instance] = candidate.address
         first = found.parts[0].candidate.instance
         if load.first(first) >= spec.slots:
             return None
         if over > path_search.FULL_SHARE:
             return None
-        return _chosen(found, max(fullest, own))
+        return _to_chosen_path(found, max(fullest, own))
 
 
 def refresh_s(engines: int) -> float:
     """Returns the maximum age of cached paths, in seconds.
 
-    Changes of health or registrations bring a new search at once, and room is
-    checked for each request, so that age only delays a better order.
+    A change of health or of registrations triggers a search at once, and room
+    is checked for each request. An old cache therefore only delays the use of
+    paths that have become cheaper.
     """
     return max(REFRESH_S, engines * REFRESH_S_PER_ENGINE)
 
 
-def _capacity(
+def _path_capacity(
     chosen: ChosenPath,
     spec: engine_specs.EngineSpec,
     tokens: float,
     uses: Mapping[str, int],
 ) -> float:
-    """Returns how many requests of a size a path has room for.
+    """Returns how many requests of ``tokens`` each a path has room for.
 
-    After losses several zones' paths lead through the same engines, which have
-    their room only once.
+    After engines are lost, the paths of several zones may share engines, whose
+    room is then divided between them.
     """
-    places = spec.slots / uses[chosen.path[0].instance]
+    slots = spec.slots / uses[chosen.path[0].instance]
     rooms = (
         room / tokens / uses[part.instance]
         for part, room in zip(chosen.path, chosen.rooms, strict=True)
     )
-    return min(places, *rooms)
+    return min(slots, *rooms)
 
 
-def _chosen(found: path_search.FoundPath, load: float) -> ChosenPath:
+def _to_chosen_path(found: path_search.FoundPath, load: float) -> ChosenPath:
     return ChosenPath(
         path=tuple(
             relayed.PathPart(
@@ -326,5 +340,5 @@
 def create_path_chooser(
     book: engine_book.EngineBook, rng: random.Random
 ) -> PathChooser:
-    """Creates a chooser over a book of beliefs."""
+    """Creates a chooser that uses the given engine states."""
     return PathChooser(book, rng)
--- a/src/almondshift/policy/path_search.py
+++ b/src/almondshift/policy/path_search.py
@@ -1,14 +1,14 @@
-"""Which engines run which layers of a request.
+"""Shortest-path search: which engines run which layers of a request.
 
-Load pattern: engines of mixed speed hold overlapping ranges of layers, some
-die, some fill up. Fixed chains lose everything with one engine; a search over
-ranges uses whatever still covers each layer. Without the charge for each
-change of zone, paths scatter over the links between zones, which all
-requests share, and streams pause while others' tokens pass.
+Load pattern: engines of mixed speed hold overlapping ranges of layers; some
+die, some fill up. A fixed chain is lost with any of its engines, while a search
+over ranges uses any engines that still hold the layers. Without a penalty for
+each change of zone, paths scatter over the links between zones, which all
+requests share, and streams pause while the tokens of others are transferred.
 
-Grounds: the published cost of a step is taken per layer, so a part of a
-range costs its share. A hop costs the wait for the next engine's pass; half
-a millisecond is about half of the shortest published step.
+The published cost of a step is divided evenly by layer, so that a part of a
+range costs its share. A hop costs the wait for the next engine's batch; half a
+millisecond is about half of the shortest published step.
 """
 
 from __future__ import annotations
@@ -23,20 +23,20 @@
 HOP_MS = 0.5
 """Time that each further engine adds to a step."""
 
-CROSSING_MS = 20.0
-"""Charge for each change of zone: its delay of under a millisecond, and the
+ZONE_CHANGE_MS = 20.0
+"""Penalty for each change of zone: its latency of under a millisecond, and the
 use of a link that all requests share."""
 
-REREAD_MS = 25.0
-"""Charge for an engine that has to read a moved request's tokens: more than
-a change of zone, so that a move replaces what was lost and little else."""
+PREFILL_MS = 25.0
+"""Penalty for an engine that has to prefill a moved request: more than that for
+a change of zone, so that a move replaces few engines beside the lost ones."""
 
 MAX_PARTS = 32
-"""Engines refuse longer paths."""
+"""Maximum length of a path; engines refuse longer ones."""
 
 FULL_SHARE = 0.95
-"""Share of an engine's memory that requests are let in to. What is left
-covers requests that other nodes let in meanwhile."""
+"""Share of an engine's memory up to which requests are admitted. The rest
+covers requests that other nodes admit at the same time."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -48,9 +48,9 @@
         end: The layer after the last.
         layer_ms: Time of a step for one layer, at its present load.
         room: Memory for requests, in tokens times layers.
-        used: What is believed to be in use of it.
-        may_be_first: Whether it takes requests from nodes.
-        entry_ms: Added once where a path enters it.
+        used: Estimated part of it that is in use.
+        may_be_first: Whether it may be the first engine of a path.
+        entry_ms: Cost added once for a path that uses it.
     """
 
     instance: str
@@ -65,13 +65,13 @@
     entry_ms: float = 0.0
 
     def fits(self, tokens: float, layers: int) -> bool:
-        """Returns whether a request's memory fits."""
+        """Returns whether there is memory for a request on some layers."""
         return self.used + tokens * layers <= self.room * FULL_SHARE
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FoundPart:
-    """A part of a path."""
+    """A range of layers that an engine runs."""
 
     candidate: Candidate
     start: int
@@ -91,14 +91,14 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Reached:
-    """The best way so far to have run the layers before ``end``.
+class _PartialPath:
+    """The cheapest path found so far over the layers before ``end``.
 
     Attributes:
-        zone: Zone of its last engine; empty at the very beginning.
-        candidate: Its last engine; None at the very beginning.
+        zone: Zone of its last engine; empty for the empty path.
+        candidate: Its last engine; None for the empty path.
         start: First layer of the last part.
-        before: The way up to ``start``.
+        parent: The path up to ``start``.
     """
 
     cost: float
@@ -106,11 +106,11 @@
     candidate: Candidate | None
     start: int
     end: int
-    before: _Reached | None
+    parent: _PartialPath | None
 
 
-Row = dict[str, _Reached]
-"""The best ways that end before one layer, by the zone of the last engine."""
+BestByZone = dict[str, _PartialPath]
+"""The cheapest partial paths to one layer, by the zone of the last engine."""
 
 
 def find_path(
@@ -127,24 +127,24 @@
         candidates: Engines that may be used.
         layers: Layers of the model.
         tokens: Memory that the request needs, in tokens.
-        first_zone: Only engines there may be first; empty for any.
-        first: The part to begin with; None for any.
+        first_zone: Zone of the first engine; empty for any.
+        first: First part of the path; None for any.
         kept: Engines that hold the request's memory already; any other one
-            has to read all its tokens again. Only with ``first``.
+            has to prefill all its tokens. Used only with ``first``.
     """
     usable = list(candidates)
     if first is not None:
         usable = [
             c
             if c.instance in kept
-            else dataclasses.replace(c, entry_ms=c.entry_ms + REREAD_MS)
+            else dataclasses.replace(c, entry_ms=c.entry_ms + PREFILL_MS)
             for c in usable
         ]
     found = _search(usable, layers, tokens, first_zone, first, split=True)
     if found is not None and _is_valid(found):
         return found
-    # An engine that is left in the middle of its range could be met again
-    # later on the path, which engines refuse; whole ranges rule that out.
+    # A path that leaves an engine in the middle of its range may use it again
+    # later, which engines refuse. With whole ranges that cannot happen.
     found = _search(usable, layers, tokens, first_zone, first, split=False)
     return found if found is not None and _is_valid(found) else None
 
@@ -162,34 +162,37 @@
     first: FoundPart | None,
     split: bool,
 ) -> FoundPath | None:
-    """Extends the best ways layer by layer.
-
-    The work is in the innermost loop, which runs for each engine, each layer
-    at which it can be entered and each at which it can be left. What doesn't
-    change there is found before, and a way that is beaten is overwritten in
-    place: nothing refers to it yet, since ways are extended in the order of
-    their ends. That halves the processor time of a choice in a large fleet.
+    """Extends the cheapest partial paths layer by layer.
+
+    Most time is spent in the innermost loop, which runs for each engine, each
+    layer at which it can be entered and each at which it can be left. Loop
+    invariants are computed outside it, and a partial path that is improved on
+    is overwritten in place: nothing refers to it yet, since partial paths are
+    extended in the order of their ends. That halves the CPU time of a choice
+    in a large fleet.
     """
-    cuts = sorted({layers, *(c.start for c in candidates)})
+    split_points = sorted({layers, *(c.start for c in candidates)})
     if first is None:
-        begin = _Reached(0.0, "", None, 0, 0, None)
+        begin = _PartialPath(0.0, "", None, 0, 0, None)
     else:
         candidate = first.candidate
-        begin = _Reached(
+        begin = _PartialPath(
             0.0, candidate.zone, candidate, first.start, first.end, None
         )
-        cuts = sorted({first.end, *cuts})
-    stops = sorted({begin.end, *cuts, *(c.end for c in candidates)})
-    reached: dict[int, Row] = {stop: {} for stop in stops}
+        split_points = sorted({first.end, *split_points})
+    boundaries = sorted(
+        {begin.end, *split_points, *(c.end for c in candidates)}
+    )
+    reached: dict[int, BestByZone] = {boundary: {} for boundary in boundaries}
     reached[begin.end][begin.zone] = begin
-    at = _by_stop(candidates, stops)
-    for position in stops:
+    by_boundary = _candidates_by_boundary(candidates, boundaries)
+    for position in boundaries:
         if position >= layers:
             break
         states = reached[position]
         if not states:
             continue
-        usable = at[position]
+        usable = by_boundary[position]
         if first is not None:
             address = first.candidate.address
             usable = [c for c in usable if c.address != address]
@@ -199,56 +202,62 @@
                 for c in usable
                 if c.may_be_first and (not first_zone or c.zone == first_zone)
             ]
-        later = cuts[bisect.bisect_right(cuts, position) :] if split else []
+        later = (
+            split_points[bisect.bisect_right(split_points, position) :]
+            if split
+            else []
+        )
         _extend(states, usable, position, later, tokens, reached)
     ends = reached[layers]
     if not ends:
         return None
-    return _trace(min(ends.values(), key=lambda state: state.cost))
+    return _to_found_path(min(ends.values(), key=lambda state: state.cost))
 
 
-def _by_stop(
-    candidates: list[Candidate], stops: list[int]
+def _candidates_by_boundary(
+    candidates: list[Candidate], boundaries: list[int]
 ) -> dict[int, list[Candidate]]:
-    """Returns the engines that hold the layer after each stop."""
-    found: dict[int, list[Candidate]] = {stop: [] for stop in stops}
+    """Returns the engines that hold the layer after each boundary."""
+    found: dict[int, list[Candidate]] = {
+        boundary: [] for boundary in boundaries
+    }
     for candidate in candidates:
-        begin = bisect.bisect_left(stops, candidate.start)
-        end = bisect.bisect_left(stops, candidate.end)
-        for stop in stops[begin:end]:
-            found[stop].append(candidate)
+        begin = bisect.bisect_left(boundaries, candidate.start)
+        end = bisect.bisect_left(boundaries, candidate.end)
+        for boundary in boundaries[begin:end]:
+            found[boundary].append(candidate)
     return found
 
 
 def _extend(
-    states: Row,
+    states: BestByZone,
     candidates: list[Candidate],
     position: int,
-    cuts: list[int],
+    split_points: list[int],
     tokens: float,
-    reached: dict[int, Row],
+    reached: dict[int, BestByZone],
 ) -> None:
-    """Extends the ways that end at a position by each engine.
+    """Extends the partial paths that end at a position by each engine.
 
     Args:
-        states: The ways.
+        states: The partial paths.
         candidates: Engines that hold the layer at the position.
-        position: Where the ways end.
-        cuts: Later layers at which an engine may be left, in order.
+        position: Layer before which the partial paths end.
+        split_points: Later layers at which an engine may be left, in order.
         tokens: Memory that the request needs, in tokens.
-        reached: Ways by their end; takes what is better.
+        reached: Partial paths by their end; updated with cheaper ones.
     """
-    best: dict[str, tuple[_Reached, float]] = {}
+    best: dict[str, tuple[_PartialPath, float]] = {}
     for candidate in candidates:
         zone = candidate.zone
         known = best.get(zone)
         if known is None:
             known = best[zone] = _cheapest(states, zone)
-        before, crossing_ms = known
-        base = before.cost + HOP_MS + candidate.entry_ms + crossing_ms
+        parent, zone_change_ms = known
+        base = parent.cost + HOP_MS + candidate.entry_ms + zone_change_ms
         layer_ms = candidate.layer_ms
-        last = bisect.bisect_left(cuts, candidate.end)
-        ends = [candidate.end, *cuts[:last]]
+        last = bisect.bisect_left(split_points, candidate.end)
+        ends = [candidate.end, *split_points[:last]]
         if not candidate.fits(tokens, candidate.end - position):
             ends = [e for e in ends if candidate.fits(tokens, e - position)]
         for end in ends:
@@ -256,34 +265,34 @@
             row = reached[end]
             state = row.get(zone)
             if state is None:
-                row[zone] = _Reached(
-                    cost, zone, candidate, position, end, before
+                row[zone] = _PartialPath(
+                    cost, zone, candidate, position, end, parent
                 )
             elif cost < state.cost:
                 state.cost = cost
                 state.candidate = candidate
                 state.start = position
-                state.before = before
+                state.parent = parent
 
 
-def _cheapest(states: Row, zone: str) -> tuple[_Reached, float]:
-    """Returns the way that is best to go on from in a zone, and the charge."""
-    before = min(
+def _cheapest(states: BestByZone, zone: str) -> tuple[_PartialPath, float]:
+    """Returns the cheapest partial path to extend in a zone and its penalty."""
+    parent = min(
         states.values(),
-        key=lambda state: state.cost + _crossing_ms(state.zone, zone),
+        key=lambda state: state.cost + _zone_change_ms(state.zone, zone),
     )
-    return before, _crossing_ms(before.zone, zone)
+    return parent, _zone_change_ms(parent.zone, zone)
 
 
-def _crossing_ms(zone: str, other: str) -> float:
-    return CROSSING_MS if zone not in ("", other) else 0.0
+def _zone_change_ms(zone: str, other: str) -> float:
+    return ZONE_CHANGE_MS if zone not in ("", other) else 0.0
 
 
-def _trace(state: _Reached) -> FoundPath:
+def _to_found_path(state: _PartialPath) -> FoundPath:
     cost = state.cost
     parts: list[FoundPart] = []
-    current: _Reached | None = state
+    current: _PartialPath | None = state
     while current is not None and current.candidate is not None:
         parts.append(FoundPart(current.candidate, current.start, current.end))
-        current = current.before
+        current = current.parent
     return FoundPath(tuple(reversed(parts)), cost)
--- a/src/almondshift/policy/pooled_load.py
+++ b/src/almondshift/policy/pooled_load.py
@@ -1,18 +1,19 @@
-"""What the other nodes have on an engine, judged from the own requests.
-
-Load pattern: with many nodes each has a few requests in all. If a node takes
-the others for like it engine by engine, one own request on an engine of 192
-places stands for 76, and three for an engine that is full: a node of 76 would
-refuse requests, or pass over whole chains, while most memory is free.
-
-Here the own requests are pooled over all engines before they are taken for
-every node: callers choose nodes at random, so a node's total is a fair sample
-of all, and other nodes spread theirs over the engines that hold a layer. With
-seven own requests the error is some 40%, of a load that is itself spread;
-engine by engine it is over 100%.
-
-Grounds: few nodes have enough requests on each engine to see which are full,
-and keep counting engine by engine.
+"""Estimate of all nodes' load on an engine from this node's own requests.
+
+Load pattern: with many nodes each has only a few requests. If a node assumes
+that the others have the same requests on each engine as itself, then with 76
+nodes one own request on an engine of 192 slots counts as 76, and three make the
+engine look full. The node would refuse requests, or avoid whole chains, while
+most memory is free.
+
+So own requests are pooled over all engines before they are extrapolated:
+callers choose nodes at random, so that a node's total is a fair sample, and
+other nodes spread their requests over the engines that hold a layer. With seven
+own requests the error is some 40%, spread over all engines; counted engine by
+engine it is over 100%.
+
+In a small group each node has enough requests on each engine to see which are
+full, and counts engine by engine.
 """
 
 from __future__ import annotations
@@ -28,14 +29,15 @@
     from almondshift.policy import engine_book
 
 MANY_NODES = 16
-"""Beyond this many nodes a node pools its requests."""
+"""Number of nodes above which a node pools its requests."""
 
 
 def question_gap(nodes: int) -> float:
-    """Returns how many times longer a node of a group waits between questions.
+    """Returns by which factor a node extends its intervals between queries.
 
-    Each node asks by itself; without this a hundred nodes ask an engine a
-    hundred times as often as one does, and to ask is much of their work.
+    Each node queries engines on its own. Without this factor a hundred nodes
+    would query an engine a hundred times as often as one does, and queries
+    would be much of their work.
     """
     return max(1.0, nodes / MANY_NODES)
 
@@ -45,7 +47,9 @@
     """An engine that takes work, and its layers.
 
     Attributes:
-        speed: Steps it makes while a published one is made.
+        start: First layer that it holds.
+        end: The layer after the last.
+        speed: Its speed relative to the published step time.
     """
 
     instance: str
@@ -56,11 +60,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineShare:
-    """What part of all requests an engine gets if they spread by speed.
+    """An engine's share of all requests if they spread by speed.
 
     Attributes:
         running: Share of all requests that use it.
-        first: Share of all requests that it is first for.
+        first: Share of all requests whose first engine it is.
     """
 
     running: float
@@ -76,16 +80,16 @@
     """Returns the shares of a model's engines, by instance.
 
     Nodes choose fast engines until their load makes slower ones as good, so
-    that requests spread about as speeds do. Taken for even, five chains of
-    which two carry most would each seem to have a fifth, and the two would be
-    filled beyond their memory.
+    that requests spread roughly in proportion to speed. With even shares, five
+    chains of which two serve most requests would each seem to have a fifth,
+    and the two would be filled beyond their memory.
     """
     known = list(holdings)
     speeds = [0.0] * layers
     for holding in known:
         for layer in range(holding.start, min(holding.end, layers)):
             speeds[layer] += holding.speed
-    # Running totals: a holding then costs the same however many layers it has.
+    # Prefix sums: the cost of a holding is independent of its layers.
     totals = [0.0]
     for speed in speeds:
         totals.append(totals[-1] + (1.0 / speed if speed else 0.0))
@@ -102,15 +106,15 @@
     return shares
 
 
-def expected(
+def fleet_total(
     own_here: float, own_total: float, share: float, nodes: int
 ) -> float:
-    """Returns what all nodes together have on an engine.
+    """Returns the estimated load of all nodes on an engine, in any unit.
 
     Args:
-        own_here: What this node has there.
-        own_total: What it has on all engines.
-        share: The engine's share of all.
+        own_here: This node's load on the engine.
+        own_total: This node's load on all engines.
+        share: The engine's share of all load.
         nodes: All nodes, this one included.
     """
     if nodes <= MANY_NODES:
@@ -118,19 +122,20 @@
     return own_here + own_total * share * (nodes - 1)
 
 
-MEMORY_S = 5.0
-"""Over which a node's requests are averaged: about as long as they last."""
+AVERAGING_S = 5.0
+"""Time constant of the mean number of requests, in seconds; about the duration
+of a request."""
 
 
-class UsualRequests:
-    """The mean number of a node's requests over the last seconds.
+class MeanRequests:
+    """The moving average of a node's number of requests.
 
-    Each of many nodes has three requests at a time, give or take two: what it
-    has at a moment says little of what all have.
+    In a large group a node has about three requests at a time, plus or minus
+    two, so that its current number says little about the others'.
 
     Attributes:
-        mean: The mean.
-        at: When it was last brought up to date; monotonic seconds.
+        mean: The average.
+        at: When it was last updated; monotonic seconds.
     """
 
     def __init__(self) -> None:
@@ -138,19 +143,19 @@
         self.at = -math.inf
 
     def note(self, requests: float, now: float) -> None:
-        """Takes what the node has now."""
-        kept = math.exp(-max(0.0, now - self.at) / MEMORY_S)
+        """Updates the average with the node's current number of requests."""
+        kept = math.exp(-max(0.0, now - self.at) / AVERAGING_S)
         self.mean += (1.0 - kept) * (requests - self.mean)
         self.at = now
 
 
 class FleetLoad:
-    """What all nodes together are believed to have on a service's engines.
+    """Estimated load of all nodes on a service's engines.
 
     Attributes:
-        own_tokens: This node's memory over all engines, in tokens.
+        own_tokens: Memory of this node's requests on all engines, in tokens.
         own_requests: This node's requests.
-        usual: The mean of the requests, brought up to date.
+        mean_requests: Their moving average, updated.
     """
 
     def __init__(
@@ -159,7 +164,7 @@
         shares: Mapping[str, EngineShare],
         layers: int,
         nodes: int,
-        usual: UsualRequests,
+        mean_requests: MeanRequests,
         now: float,
     ) -> None:
         self.book = book
@@ -170,69 +175,69 @@
         states = [book.states[i] for i in shares if i in book.states]
         self.own_tokens = sum(s.layer_tokens for s in states) / layers
         self.own_requests = sum(s.first_running for s in states)
-        self.usual = usual
-        usual.note(self.own_requests, now)
+        self.mean_requests = mean_requests
+        mean_requests.note(self.own_requests, now)
 
     def own_share(self, instance: str, room: float) -> float:
-        """Returns the own part of an engine's memory, for all nodes alike.
+        """Returns an engine's memory utilisation if all nodes were like this.
 
-        Too coarse to tell whether an engine is full, but it sends a node's
-        next request to engines that have none of it. By pooled loads alone
-        like engines look alike, and all nodes would take the cheapest.
+        Too coarse to tell whether an engine is full, but it directs a node's
+        next request to engines on which it has none. By pooled load alone,
+        equal engines look the same and all nodes would choose the cheapest.
         """
         state = self.book.states.get(instance)
         return state.layer_tokens * self.nodes / room if state else 0.0
 
     def own_running(self, instance: str) -> float:
-        """Returns the own requests that use an engine, for all nodes alike."""
+        """Returns an engine's requests if all nodes had as many as this one."""
         state = self.book.states.get(instance)
         return state.running * self.nodes if state else 0.0
 
     def running(self, instance: str) -> float:
-        """Returns the requests that use an engine, by the usual own total."""
+        """Returns an engine's requests, estimated from this node's mean."""
         state = self.book.states.get(instance)
         here = state.running if state else 0
         share = self._share(instance).running
-        return expected(here, self.usual.mean, share, self.nodes)
+        return fleet_total(here, self.mean_requests.mean, share, self.nodes)
 
     def first(self, instance: str) -> float:
-        """Returns the requests that an engine is first for."""
+        """Returns the requests whose first engine this is."""
         here = self.own_first(instance)
         share = self._share(instance).first
-        return expected(here, self.own_requests, share, self.nodes)
+        return fleet_total(here, self.own_requests, share, self.nodes)
 
-    def first_soon(self, instance: str) -> float:
-        """Returns the same once each node has sent one more request there.
+    def first_after_next(self, instance: str) -> float:
+        """Returns ``first`` after one more request of each node to the engine.
 
         Nodes that start together, or learn of a loss together, choose at the
         same moment and don't see each other's choices yet. A node that counts
-        only what it has sent takes the last places of the fastest engine for
-        free, as do all the others.
+        only the requests it has sent would consider the last slots of the
+        fastest engine free, as would all the others.
         """
         if self.nodes <= MANY_NODES:
             return self.first(instance)
         here = self.own_first(instance)
         share = self._share(instance).first
-        return expected(here + 1, self.own_requests + 1, share, self.nodes)
+        return fleet_total(here + 1, self.own_requests + 1, share, self.nodes)
 
     def own_first(self, instance: str) -> int:
-        """Returns the own requests that an engine is first for."""
+        """Returns this node's requests whose first engine this is."""
         state = self.book.states.get(instance)
         return state.first_running if state else 0
 
     def used(self, instance: str, held: int) -> float:
-        """Returns the memory in use, in tokens times layers.
+        """Returns the estimated memory in use, in tokens times layers.
 
         Args:
             instance: The engine.
-            held: Layers that it holds.
+            held: Number of layers that it holds.
         """
         state = self.book.states.get(instance)
         here = state.layer_tokens if state else 0.0
         share = self._share(instance).running * held
-        estimate = expected(here, self.own_tokens, share, self.nodes)
-        alike = self.nodes if self.nodes <= MANY_NODES else 1
-        return self.book.used(instance, estimate, alike, self.now)
+        estimate = fleet_total(here, self.own_tokens, share, self.nodes)
+        counted_nodes = self.nodes if self.nodes <= MANY_NODES else 1
+        return self.book.used(instance, estimate, counted_nodes, self.now)
 
     def _share(self, instance: str) -> EngineShare:
         return self.shares.get(instance, NO_SHARE)
--- a/src/almondshift/policy/probe_timing.py
+++ b/src/almondshift/policy/probe_timing.py
@@ -1,13 +1,14 @@
 """When the engines of a silent stream are probed.
 
-Load pattern: engines go dark while a crowd keeps others busy. Streams over busy
-engines pause too, and each of hundreds of nodes sees only a few streams. Probed
-too late, callers of the dead engines are late; probed at each pause, the busy
-engines answer little else.
-
-A stream is silent after a few of its usual pauses, which are longer over slow
-accelerators. Each engine has a backoff of its own: one that answers starts
-probes less and less often, and never delays the probe of another one.
+Load pattern: engines stop responding while high load keeps others busy. Streams
+over busy engines pause too, and each of hundreds of nodes sees only a few
+streams. With late probes, callers of the dead engines are late; with a probe at
+each pause, busy engines do little else than answer probes.
+
+A stream counts as silent after a multiple of its usual interval between events,
+which is longer on slow accelerators. Each engine has its own exponential
+backoff: an engine that answers triggers probes less and less often, and never
+delays the probe of another one.
 """
 
 from __future__ import annotations
@@ -16,21 +17,20 @@
 import math
 
 LEAST_SILENT_S = 0.05
-"""Minimum silence of a stream that starts a round, in seconds."""
+"""Minimum silence of a stream that starts a round of probes, in seconds."""
 
-SILENT_EVENTS = 2.0
+SILENT_INTERVALS = 2.0
 """Silence that starts a round, in multiples of the stream's usual interval."""
 
 FIRST_SILENT_S = 0.2
 """Silence that starts a round before the first event, in seconds."""
 
-ROUND_GAP_S = 0.15
+MIN_GAP_S = 0.15
 """Minimum interval between two rounds that one engine starts, in seconds."""
 
-LONGEST_GAP_S = 2.4
-"""Limit of the exponential backoff between rounds that an engine starts which
-answers: engines under load are slow, and more probes would add to their load.
-"""
+MAX_GAP_S = 2.4
+"""Maximum interval between rounds that one engine starts, in seconds. Engines
+under load are slow, and more probes would add to their load."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -38,11 +38,11 @@
     """When an engine may be probed again.
 
     Attributes:
-        gap_s: Present pause between two probes.
-        next_at: Loop time of the next one, at the earliest.
+        gap_s: Present interval between two probes.
+        next_at: Loop time of the earliest next probe.
     """
 
-    gap_s: float = ROUND_GAP_S
+    gap_s: float = MIN_GAP_S
     next_at: float = -math.inf
 
     def is_due(self, now: float) -> bool:
@@ -50,23 +50,23 @@
         return now >= self.next_at
 
     def note_probe(self, now: float, factor: float) -> None:
-        """Notes a probe; the next pause is longer if it follows soon.
+        """Records a probe; one soon after the last doubles the interval.
 
         Args:
             now: Loop time.
-            factor: How many times longer the pauses of a large group are.
+            factor: Factor by which a large group extends its intervals.
         """
         if now >= self.next_at + self.gap_s * factor:
-            self.gap_s = ROUND_GAP_S
+            self.gap_s = MIN_GAP_S
         else:
-            self.gap_s = min(LONGEST_GAP_S, self.gap_s * 2)
+            self.gap_s = min(MAX_GAP_S, self.gap_s * 2)
         self.next_at = now + self.gap_s * factor
 
 
 def patience_s(events: int, lasted_s: float) -> float:
-    """Returns after which silence a stream's engines are probed, in seconds.
+    """Returns the silence after which a stream's engines are probed.
 
-    Never less than ``LEAST_SILENT_S``.
+    In seconds, and never less than ``LEAST_SILENT_S``.
 
     Args:
         events: Events that the stream had; 0 before the first one.
@@ -75,4 +75,4 @@
     if not events:
         return FIRST_SILENT_S
     usual_s = lasted_s / max(1, events - 1)
-    return max(LEAST_SILENT_S, SILENT_EVENTS * usual_s)
+    return max(LEAST_SILENT_S, SILENT_INTERVALS * usual_s)
--- a/src/almondshift/policy/zone_paths.py
+++ b/src/almondshift/policy/zone_paths.py
@@ -1,12 +1,12 @@
-"""The paths that begin in each zone, one of which a request may take.
+"""The paths that begin in each zone, from which a request's path is chosen.
 
-Load pattern: engines of a zone fill up, die or turn slow while others of the
-zone hold the same layers, or other zones do. One path a zone would leave them
-idle; all paths would be too many to weigh for each request.
+Load pattern: engines of a zone fill up, die or become slow while other engines
+of the zone, or of other zones, hold the same layers. With one path per zone
+those would stay idle; all paths would be too many to compare for each request.
 
-Grounds: a zone offers its best path and those that share no engine with it. It
-is offered with slow engines where there is no other, and with engines of other
-zones where its own don't hold all layers.
+So a zone has its best path and further ones that share no engine with it or
+with each other. The best path uses slow engines where there is no other, and
+engines of other zones where its own don't hold all layers.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-MOST_APART = 4
-"""Paths looked at in a zone beside the best; a zone of 33 engines holds five
-chains."""
+MAX_DISJOINT_PATHS = 4
+"""Maximum number of paths in a zone beside the best; a zone of 33 engines holds
+five chains."""
 
 
-def found(
+def find_paths(
     candidates: Sequence[path_search.Candidate],
-    quick: Sequence[path_search.Candidate],
+    preferred: Sequence[path_search.Candidate],
     layers: int,
     tokens: float,
 ) -> list[path_search.FoundPath]:
@@ -34,13 +34,13 @@
 
     Args:
         candidates: Engines that may take work.
-        quick: Those of them that are not to be passed over.
+        preferred: Those of them that are not to be avoided.
         layers: Layers of the model.
         tokens: Memory that a request needs, in tokens.
     """
     paths: list[path_search.FoundPath] = []
     for zone in sorted({c.zone for c in candidates}):
-        best = _zone_path(quick, zone, layers, tokens)
+        best = _zone_path(preferred, zone, layers, tokens)
         if best is None:
             best = _zone_path(candidates, zone, layers, tokens)
             if best is not None:
@@ -49,7 +49,7 @@
         if best is None:
             continue
         paths.append(best)
-        paths += _apart_from(best, quick, zone, layers, tokens)
+        paths += _disjoint_paths(best, preferred, zone, layers, tokens)
     return paths
 
 
@@ -59,7 +59,7 @@
     layers: int,
     tokens: float,
 ) -> path_search.FoundPath | None:
-    """Returns a path within a zone, or else one that begins there."""
+    """Returns a path within a zone, or else one that only begins there."""
     within = [c for c in candidates if c.zone == zone]
     path = path_search.find_path(within, layers, tokens)
     if path is not None:
@@ -67,7 +67,7 @@
     return path_search.find_path(candidates, layers, tokens, first_zone=zone)
 
 
-def _apart_from(
+def _disjoint_paths(
     best: path_search.FoundPath,
     candidates: Sequence[path_search.Candidate],
     zone: str,
@@ -76,16 +76,16 @@
 ) -> list[path_search.FoundPath]:
     """Returns paths in the same zone that share no engine with each other.
 
-    Second copies of a zone's layers stand idle while the engines that carry
-    its streams fill up; requests would be refused beside them.
+    Without them, second copies of a zone's layers would stay idle, and requests
+    would be refused once the engines of the best path are full.
     """
-    rest = [c for c in candidates if c.zone == zone]
+    remaining = [c for c in candidates if c.zone == zone]
     others: list[path_search.FoundPath] = []
     last: path_search.FoundPath | None = best
-    while last is not None and len(others) < MOST_APART:
+    while last is not None and len(others) < MAX_DISJOINT_PATHS:
         used = {part.candidate.instance for part in last.parts}
-        rest = [c for c in rest if c.instance not in used]
-        last = path_search.find_path(rest, layers, tokens)
+        remaining = [c for c in remaining if c.instance not in used]
+        last = path_search.find_path(remaining, layers, tokens)
         if last is not None:
             others.append(last)
     return others
--- a/tests/policy/test_capacity_shares.py
+++ b/tests/policy/test_capacity_shares.py
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize(
-    ("offers", "demand", "found"),
+    ("options", "demand", "expected"),
     [
         ([(1.0, 80.0), (2.0, 80.0)], 10.0, [10.0, 0.0]),
         ([(1.0, 80.0), (1.0, 40.0)], 30.0, [20.0, 10.0]),
@@ -34,16 +34,16 @@
     ids=["calm", "by room", "by cost", "one is full", "more than room"],
 )
 def test_paths_that_get_requests_cost_the_same(
-    offers: list[tuple[float, float]], demand: float, found: list[float]
+    options: list[tuple[float, float]], demand: float, expected: list[float]
 ) -> None:
-    given = [capacity_shares.PathOffer(c, k, 0) for c, k in offers]
+    given = [capacity_shares.PathOption(c, k, 0) for c, k in options]
     shares = capacity_shares.shares(given, demand, load_weight=4.0)
-    assert shares == pytest.approx(found, rel=1e-3, abs=1e-3)
+    assert shares == pytest.approx(expected, rel=1e-3, abs=1e-3)
 
 
 OFFERS = strategies.lists(
     strategies.builds(
-        capacity_shares.PathOffer,
+        capacity_shares.PathOption,
         cost=strategies.floats(0.1, 1_000.0),
         capacity=strategies.floats(0.5, 500.0),
         own=strategies.integers(0, 5),
@@ -55,22 +55,22 @@
 
 @hypothesis.given(OFFERS, strategies.floats(0.1, 20_000.0))
 def test_shares_add_up_and_none_is_overfilled_alone(
-    offers: list[capacity_shares.PathOffer], demand: float
+    options: list[capacity_shares.PathOption], demand: float
 ) -> None:
-    shares = capacity_shares.shares(offers, demand, load_weight=4.0)
+    shares = capacity_shares.shares(options, demand, load_weight=4.0)
     assert sum(shares) == pytest.approx(demand, rel=1e-3)
-    over = max(1.0, demand / sum(o.capacity for o in offers))
-    for offer, share in zip(offers, shares, strict=True):
-        assert 0.0 <= share <= offer.capacity * over * 1.001
+    over = max(1.0, demand / sum(o.capacity for o in options))
+    for option, share in zip(options, shares, strict=True):
+        assert 0.0 <= share <= option.capacity * over * 1.001
 
 
 @hypothesis.given(OFFERS, strategies.integers(1, 400))
 def test_some_path_is_always_drawn(
-    offers: list[capacity_shares.PathOffer], nodes: int
+    options: list[capacity_shares.PathOption], nodes: int
 ) -> None:
-    shares = capacity_shares.shares(offers, float(nodes), load_weight=4.0)
-    index = capacity_shares.drawn(offers, shares, nodes, random.Random(1))
-    assert 0 <= index < len(offers)
+    shares = capacity_shares.shares(options, float(nodes), load_weight=4.0)
+    index = capacity_shares.draw_path(options, shares, nodes, random.Random(1))
+    assert 0 <= index < len(options)
 
 
 def test_a_calm_day_of_many_nodes_fills_no_first_engine() -> None:
--- a/tests/policy/test_path_choice.py
+++ b/tests/policy/test_path_choice.py
@@ -45,7 +45,7 @@
     """Lets the engines that the chooser wants to ask say what is in use."""
     for instance in chooser.tight:
         used = chooser.book.state(instance).layer_tokens * chooser.nodes
-        said = used / engine_book.GROWTH
+        said = used / engine_book.MEMORY_GROWTH
         chooser.book.note_used(instance, said, now)
     chooser.tight.clear()
 
@@ -108,7 +108,7 @@
 def test_a_moved_request_leaves_the_lost_engine_only() -> None:
     chooser = _chooser()
     view = _view()
-    path = path_choice._chosen(
+    path = path_choice._to_chosen_path(
         next(
             p for p in chooser._search(view, 0.0)
             if p.parts[0].candidate.zone == "a"
@@ -227,11 +227,11 @@
     for second in range(3):
         for zone in "abc":
             chooser.book.note_unheard(f"{zone}0", float(second))
-        chooser.book.state("b0").unheard_until = 0.0
+        chooser.book.state("b0").no_first_event_until = 0.0
         chosen = chooser.choose(_view(), TOKENS, float(second))
         assert chosen is not None
         assert chosen.path[0].instance == "b0"
-    later = 2.0 + engine_book.UNHEARD_S
+    later = 2.0 + engine_book.NO_FIRST_EVENT_S
     firsts = set()
     for _ in range(20):
         chosen = chooser.choose(_view(), TOKENS, later)
--- a/tests/policy/test_path_refresh.py
+++ b/tests/policy/test_path_refresh.py
@@ -31,13 +31,13 @@
 def searches(monkeypatch: pytest.MonkeyPatch) -> list[int]:
     """Keeps the number of candidates of each search."""
     kept: list[int] = []
-    search = zone_paths.found
+    search = zone_paths.find_paths
 
     def counted(candidates: list[object], *more: object) -> object:
         kept.append(len(candidates))
         return search(candidates, *more)  # type: ignore[arg-type]
 
-    monkeypatch.setattr(zone_paths, "found", counted)
+    monkeypatch.setattr(zone_paths, "find_paths", counted)
     return kept
 
 
--- a/tests/policy/test_path_search.py
+++ b/tests/policy/test_path_search.py
@@ -37,7 +37,9 @@
     zone = ""
     for part in parts:
         cost += path_search.HOP_MS + part.layer_ms * (part.end - part.start)
-        cost += path_search.CROSSING_MS if zone not in ("", part.zone) else 0.0
+        cost += (
+            path_search.ZONE_CHANGE_MS if zone not in ("", part.zone) else 0.0
+        )
         zone = part.zone
     return cost
 
--- a/tests/policy/test_pooled_load.py
+++ b/tests/policy/test_pooled_load.py
@@ -52,7 +52,7 @@
     ("nodes", "found"), [(7, 21.0), (16, 48.0), (76, 3.0 + 6 * 0.5 * 75)]
 )
 def test_few_nodes_count_engine_by_engine(nodes: int, found: float) -> None:
-    assert pooled_load.expected(3.0, 6.0, 0.5, nodes) == found
+    assert pooled_load.fleet_total(3.0, 6.0, 0.5, nodes) == found
 
 
 @pytest.mark.parametrize(
@@ -73,9 +73,9 @@
         book.add((engine_book.UsedPart(here, 4),), 100.0)
     shares = dict.fromkeys("ab", pooled_load.EngineShare(0.5, 0.5))
     load = pooled_load.FleetLoad(
-        book, shares, 4, nodes, pooled_load.UsualRequests(), 0.0
+        book, shares, 4, nodes, pooled_load.MeanRequests(), 0.0
     )
-    assert load.first_soon("a") == soon
+    assert load.first_after_next("a") == soon
 
 
 def test_a_few_requests_of_many_nodes_fill_no_engine() -> None:
--- a/tests/policy/test_thousands_of_engines.py
+++ b/tests/policy/test_thousands_of_engines.py
@@ -20,8 +20,8 @@
     ("copies", "searched"),
     [
         (1, GROUPS),
-        (engine_sample.MOST_ALIKE, GROUPS * engine_sample.MOST_ALIKE),
-        (COPIES, GROUPS * engine_sample.MOST_ALIKE),
+        (engine_sample.MAX_PER_GROUP, GROUPS * engine_sample.MAX_PER_GROUP),
+        (COPIES, GROUPS * engine_sample.MAX_PER_GROUP),
     ],
 )
 def test_a_search_looks_at_a_few_of_each_group(
@@ -29,7 +29,7 @@
 ) -> None:
     """The search over all engines was most of a node's processor time."""
     chooser = small._chooser()
-    found = chooser.candidates.found(large.fleet(copies), 0.0)
+    found = chooser.candidates.find(large.fleet(copies), 0.0)
     assert len(found) == searched
     assert len({(c.zone, c.start) for c in found}) == GROUPS
 
