--- a/src/almondshift/policy/answer_times.py
+++ b/src/almondshift/policy/answer_times.py
@@ -1,16 +1,17 @@
-"""How long the next answer will take, from those that were lately given.
-
-Load pattern: a node that is asked to stop has some seconds left, and callers
-come to it for three seconds more. In quiet times each of them gets its answer
-in time; while engines are crowded the same stream takes three times as long,
-and what is taken then is cut. Without an estimate a node can only take all of
-them, or refuse all of them, most of which it could have served.
-
-Grounds: time is taken as proportional to the tokens asked for, since engines
-give each stream about the same pace. Callers' estimates of their answers are
-often wrong by several times, so a high percentile is taken, and the shortest
-count as more than they say. What takes longer all the same is seldom taken
-after a stop has begun, since the figure must fit into what is left.
+"""How long the next answer will take, estimated from recent ones.
+
+Load pattern: a node that is asked to stop has some seconds left, and requests
+still arrive for three seconds. Under low load all their answers end in time.
+While engines are overloaded the same stream takes three times as long, and is
+cut off. Without an estimate a node can only accept all requests, or refuse all,
+most of which it could have served.
+
+Time is assumed proportional to the requested tokens, since engines give all
+streams about the same speed. Callers' estimates of their answers are often
+wrong by several times, so that a high percentile is used, and a constant is
+added to each length, which raises that of short answers most. During a stop a
+request is accepted only if its expected time fits into the time left, so that
+few accepted answers take longer than that.
 """
 
 from __future__ import annotations
@@ -22,34 +23,35 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-KEPT = 100
-"""Answers remembered for each service: with a dozen a second they tell of the
-last eight seconds, in which crowds come and go."""
+MAX_SAMPLES = 100
+"""Maximum number of answers kept for each service. With a dozen a second they
+cover the last eight seconds, in which overloads come and go."""
 
-FEWEST = 10
-"""Answers below which a percentile says nothing."""
+MIN_SAMPLES = 10
+"""Minimum number of answers for a percentile."""
 
-UNKNOWN_S_PER_TOKEN = 0.02
-"""Assumed until so many were given: the percentile of a crowd. A node that has
-just started does not know whether there is one."""
+DEFAULT_S_PER_TOKEN = 0.02
+"""Seconds per token assumed with fewer answers: the percentile under overload,
+since a node that has just started does not know whether there is one."""
 
-EQUAL_TOKENS = 100.0
-"""Added to the tokens of each answer, for its wait until it begins and for
-estimates that are too low."""
+OVERHEAD_TOKENS = 100.0
+"""Tokens added to the length of each answer, for the time until it begins and
+for estimates that are too low."""
 
 PERCENTILE = 0.95
-"""Of 3,412 streams in a crowd with 4.2 s left 1,465 would have been taken and
-39 of them cut; at 0.9 it is 2,020 and 101, at 0.99 573 and 10. Each answer that
-is not cut costs some eight callers a second try elsewhere."""
+"""Percentile of the seconds per token. Of 3,412 streams under overload with
+4.2 s left, 1,465 would be accepted and 39 of them cut off; at 0.9 these are
+2,020 and 101, at 0.99 573 and 10. For each answer that is not cut off, some
+eight more callers have to retry elsewhere."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UnfinishedAnswer:
-    """An answer that is being given.
+    """An answer in progress.
 
     Attributes:
-        tokens: How long it is expected to be.
-        seconds: Since its request arrived.
+        tokens: Its expected length.
+        seconds: Time since its request arrived.
     """
 
     tokens: float
@@ -57,32 +59,32 @@
 
     def rate(self) -> float:
         """Returns its seconds per token so far."""
-        return self.seconds / (self.tokens + EQUAL_TOKENS)
+        return self.seconds / (self.tokens + OVERHEAD_TOKENS)
 
 
 class AnswerTimes:
     """Durations of the last answers of each service.
 
     Attributes:
-        seconds_per_token: From the oldest to the newest.
+        seconds_per_token: By service, from the oldest to the newest.
     """
 
     def __init__(self) -> None:
         self.seconds_per_token: dict[str, collections.deque[float]] = {}
 
     def note(self, service: str, tokens: float, seconds: float) -> None:
-        """Notes a whole answer.
+        """Records a complete answer.
 
         Args:
-            service: What gave it.
-            tokens: How long it was expected to be; 0 if it has no length.
-            seconds: From its request's arrival to its end.
+            service: The service that gave it.
+            tokens: Its expected length; 0 if it has none.
+            seconds: Time from its request's arrival to its end.
         """
         kept = self.seconds_per_token.get(service)
         if kept is None:
-            kept = collections.deque(maxlen=KEPT)
+            kept = collections.deque(maxlen=MAX_SAMPLES)
             self.seconds_per_token[service] = kept
-        kept.append(seconds / (tokens + EQUAL_TOKENS))
+        kept.append(seconds / (tokens + OVERHEAD_TOKENS))
 
     def expected_s(
         self,
@@ -90,29 +92,28 @@
         tokens: float,
         unfinished: Sequence[UnfinishedAnswer] = (),
     ) -> float:
-        """Returns in how many seconds an answer will most likely be whole.
+        """Returns the time in which an answer most likely ends, in seconds.
 
         Args:
-            service: What gives it.
-            tokens: How long it is expected to be.
-            unfinished: Answers of the service that are being given. Those
-                that took longer already than such answers most likely do
-                show a crowd before any of its answers has ended; the others
-                say nothing yet.
+            service: The service that gives it.
+            tokens: Its expected length.
+            unfinished: Answers of the service in progress. Only those that
+                already took longer than expected are counted: they show an
+                overload before any answer given under it has ended.
         """
         kept = list(self.seconds_per_token.get(service, ()))
         high = high_rate(kept)
         longer = [rate for a in unfinished if (rate := a.rate()) > high]
-        return high_rate(kept + longer) * (tokens + EQUAL_TOKENS)
+        return high_rate(kept + longer) * (tokens + OVERHEAD_TOKENS)
 
 
 def high_rate(rates: Sequence[float]) -> float:
-    """Returns the percentile of seconds per token, or what is assumed."""
-    if len(rates) < FEWEST:
-        return UNKNOWN_S_PER_TOKEN
+    """Returns the percentile of seconds per token, or the default."""
+    if len(rates) < MIN_SAMPLES:
+        return DEFAULT_S_PER_TOKEN
     return sorted(rates)[int(PERCENTILE * len(rates))]
 
 
 def create_answer_times() -> AnswerTimes:
-    """Creates a record that knows of no answer yet."""
+    """Creates a record without any answers."""
     return AnswerTimes()
--- a/src/almondshift/policy/crash_strikes.py
+++ b/src/almondshift/policy/crash_strikes.py
@@ -1,22 +1,22 @@
-"""Requests that crash each endpoint that runs them, over all nodes.
-
-Load pattern: one request crashes its endpoint, its caller sends it again
-through any node, and the next endpoint is gone too. Without a limit that
-spans nodes, a single caller takes down one endpoint after another, each with
-all other work on it.
-
-A request is known by its fingerprint. It has a strike for each time that it
-was sent and an endpoint broke off under it and then turned out to be gone;
-resets and lost answers of endpoints that live are none. Several engines of one
-path that die together, as those of a rack do, are one strike: a request that
-crashes its endpoints does so each time that it is sent. With ``MAX_STRIKES``
-strikes it is refused, unless it was answered well meanwhile.
-
-Grounds: an endpoint that crashes for its own reasons takes some sixty streams
-with it, a third of a zone's; that one of them meets three such crashes in the
-few seconds of its life is rare, and it is then only not sent again. What
-several callers send alike, such as a request without a body, is answered
-well all the time, which clears it here and at peers.
+"""Detects requests that crash each endpoint that runs them, over all nodes.
+
+Load pattern: one request crashes its endpoint, its caller retries through any
+node, and the next endpoint crashes too. Without a limit that spans nodes, a
+single caller takes down one endpoint after another, each with all other work on
+it.
+
+A request is identified by its fingerprint. It gets a strike for each attempt
+during which an endpoint broke the connection and then turned out to be gone;
+resets and lost answers of live endpoints are none. Several engines of one path
+that die together, such as those of a rack, are one strike, since a request that
+crashes its endpoints does so in each attempt. With ``MAX_STRIKES`` strikes it
+is refused, unless it was answered successfully in the meantime.
+
+An endpoint that crashes for another reason interrupts some sixty streams, a
+third of a zone's. That one of them meets three such crashes in its few seconds
+is rare, and it is then only not retried. Requests that several callers send
+with the same content, such as an empty body, are answered successfully all the
+time, which clears them here and at peers.
 """
 
 from __future__ import annotations
@@ -24,32 +24,34 @@
 import dataclasses
 
 MAX_STRIKES = 3
-"""Endpoints lost to one request until it is refused. Two crashes happen to
-innocent requests when a zone's engines die within moments of each other."""
+"""Strikes from which a request is refused. Harmless requests meet two crashes
+when a zone's engines die within moments of each other."""
 
 STRIKE_S = 600.0
-"""A strike is remembered for so long; callers that repeat such a request do
-so within minutes."""
+"""Validity of a strike, in seconds; callers that retry such a request do so
+within minutes."""
 
-BREAK_S = 10.0
-"""An endpoint that is not gone so long after it broke off a request did not
-crash: the registry drops a silent one within some four seconds."""
+CRASH_CONFIRM_S = 10.0
+"""Time after a broken connection within which the endpoint must be gone to
+count as crashed, in seconds. The registry drops a silent one within some four
+seconds."""
 
-ANSWERED_KEPT = 4_096
-"""Fingerprints of answered requests that are remembered, about a quarter of
-an hour's at five requests a second and node; 0.4 MB."""
+MAX_ANSWERED = 4_096
+"""Maximum number of fingerprints of answered requests: about those of a quarter
+of an hour at five requests per second and node; 0.4 MB."""
 
-STRUCK_KEPT = 8_192
-"""Fingerprints with strikes; some hundred crashes with sixty streams each."""
+MAX_STRUCK = 8_192
+"""Maximum number of fingerprints with strikes; some hundred crashes with sixty
+streams each."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Crash:
-    """An endpoint that crashed, and what was in flight there.
+    """An endpoint that crashed, and requests that it ran.
 
     Attributes:
-        fingerprints: Those that got a strike.
-        convicted: Those that are refused from now on.
+        fingerprints: Requests that got a strike.
+        convicted: Requests that are refused from now on.
     """
 
     instance: str
@@ -58,11 +60,12 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Break:
-    """An endpoint broke off.
+class BrokenAttempt:
+    """An attempt during which the endpoint broke the connection.
 
     Attributes:
-        attempt: Names the send among all of its node.
+        attempt: Identifies the attempt among all of its node.
+        at: When the connection broke; monotonic seconds.
     """
 
     attempt: str
@@ -70,32 +73,32 @@
 
 
 class CrashStrikes:
-    """Counts lost endpoints by request.
+    """Counts crashes of endpoints by request.
 
     Attributes:
-        breaks: By instance and fingerprint, until it is clear whether the
-            endpoint crashed.
-        strikes: Times by fingerprint and by what names the strike.
-        answered: When requests were last answered well, by fingerprint.
+        breaks: Broken attempts by instance and fingerprint, until it is clear
+            whether the endpoint crashed.
+        strikes: Times of strikes, by fingerprint and name of the strike.
+        answered: When requests were last answered successfully, by fingerprint.
     """
 
     def __init__(self) -> None:
-        self.breaks: dict[str, dict[str, Break]] = {}
+        self.breaks: dict[str, dict[str, BrokenAttempt]] = {}
         self.strikes: dict[str, dict[str, float]] = {}
         self.answered: dict[str, float] = {}
 
     def broke(
         self, fingerprint: str, attempt: str, instance: str, now: float
     ) -> None:
-        """Notes that an endpoint broke off while it ran a request."""
+        """Records that an endpoint broke the connection of a request."""
         pending = self.breaks.setdefault(instance, {})
-        pending[fingerprint] = Break(attempt, now)
+        pending[fingerprint] = BrokenAttempt(attempt, now)
 
     def crashed(self, instance: str, now: float) -> Crash:
-        """Notes that an endpoint is gone; what it broke off gets a strike."""
+        """Records that an endpoint is gone; requests it ran get a strike."""
         struck, convicted = [], []
         for fingerprint, found in self.breaks.pop(instance, {}).items():
-            if now - found.at > BREAK_S:
+            if now - found.at > CRASH_CONFIRM_S:
                 continue
             known = self.strikes.get(fingerprint, {})
             if found.attempt in known or fingerprint in self.answered:
@@ -106,36 +109,35 @@
         return Crash(instance, tuple(struck), tuple(convicted))
 
     def strike(self, fingerprint: str, name: str, now: float) -> bool:
-        """Adds a strike; returns whether the request is refused by it.
+        """Adds a strike; returns whether the request is refused from now on.
 
         Args:
             fingerprint: The request.
-            name: Tells this strike from others; a second time it counts
-                nothing.
+            name: Identifies the strike; a strike of the same name counts once.
             now: Monotonic seconds.
         """
         if fingerprint in self.answered:
             return False
         was_refused = self.is_refused(fingerprint, now)
         self.strikes.setdefault(fingerprint, {})[name] = now
-        while len(self.strikes) > STRUCK_KEPT:
+        while len(self.strikes) > MAX_STRUCK:
             del self.strikes[next(iter(self.strikes))]
         return not was_refused and self.is_refused(fingerprint, now)
 
     def note_answered(self, fingerprint: str, now: float) -> None:
-        """Clears a request: an endpoint ran it to a good end."""
+        """Clears a request that an endpoint has answered successfully."""
         self.strikes.pop(fingerprint, None)
         self.answered.pop(fingerprint, None)
         self.answered[fingerprint] = now
-        while len(self.answered) > ANSWERED_KEPT:
+        while len(self.answered) > MAX_ANSWERED:
             del self.answered[next(iter(self.answered))]
 
     def known_good(self, fingerprints: tuple[str, ...]) -> tuple[str, ...]:
-        """Returns those that were answered here."""
+        """Returns the requests that were answered successfully here."""
         return tuple(f for f in fingerprints if f in self.answered)
 
     def is_refused(self, fingerprint: str, now: float) -> bool:
-        """Returns whether a request may reach no endpoint any more."""
+        """Returns whether a request may no longer be sent to any endpoint."""
         known = self.strikes.get(fingerprint)
         if known is None:
             return False
@@ -143,9 +145,9 @@
         return fresh >= MAX_STRIKES
 
     def forget_old(self, now: float) -> None:
-        """Drops what no longer counts."""
+        """Drops broken attempts and strikes that no longer count."""
         for instance, pending in list(self.breaks.items()):
-            if all(now - b.at > BREAK_S for b in pending.values()):
+            if all(now - b.at > CRASH_CONFIRM_S for b in pending.values()):
                 del self.breaks[instance]
         for fingerprint, known in list(self.strikes.items()):
             if all(now - at > STRIKE_S for at in known.values()):
--- a/src/almondshift/policy/engine_starts.py
+++ b/src/almondshift/policy/engine_starts.py
@@ -1,14 +1,14 @@
-"""Which start of an engine stands, of those that its rows name.
+"""Which start of an engine is accepted, of those that its registry rows name.
 
-Load pattern: engines start again under the name that they had, and a write of
-the former start may reach the store after the first of the new one. So a later
-start goes before an earlier one. But others write to the registry too: a row
-under an engine's name with a start that never was, or that lies in the future,
-would be the latest for ever, and the engine's own rows would be dropped as
-late. What tells the two apart is that an engine which lives goes on writing.
+Load pattern: engines restart under their former name, and a write of the former
+start may reach the store after the first write of the new one. So a later start
+takes precedence over an earlier one. But others write to the registry too: a
+row under an engine's name with a wrong start time, or one in the future, would
+remain the latest for ever, and the engine's own rows would be dropped as late.
+The two are distinguished by the fact that a live engine keeps writing.
 
-Grounds: no node's time of day is asked, since it jumps; a bound on starts that
-lie in the future would drop all engines where it jumped back.
+No node's wall clock is used, since it may jump. A limit on start times in the
+future would drop all engines on a node whose clock jumped back.
 """
 
 from __future__ import annotations
@@ -17,22 +17,26 @@
 import dataclasses
 import enum
 
-STARTS_KEPT = 4_096
-"""Engines whose starts are remembered, also those that are gone; five times
-the engines of the largest fleet."""
+MAX_TRACKED_ENGINES = 4_096
+"""Maximum number of engines whose starts are kept, including engines that are
+gone; five times the engines of the largest fleet."""
 
-CONTEST_S = 4.0
-"""A start that does not stand must be written for so long, while the one that
-stands is not written at all. The registry drops an engine that wrote nothing
-for some four seconds."""
+CHALLENGE_S = 4.0
+"""Time for which another start must be written, with no write of the accepted
+one, before it replaces that one, in seconds. The registry drops an engine that
+wrote nothing for some four seconds."""
 
-CONTEST_ROWS = 4
-"""It must be written so often, each time anew: of a process that has ended one
-write or two may still be on their way, seconds late."""
+CHALLENGE_ROWS = 4
+"""Number of rows with different revisions in which the other start must appear.
+One or two writes of a process that has ended may still arrive, seconds late."""
 
 
 class StartVerdict(enum.Enum):
-    """What becomes of a row."""
+    """What happens to a row.
+
+    STANDS: it has the accepted start. LATE: it is dropped. OVERTURNS: its start
+    replaces the accepted one.
+    """
 
     STANDS = "stands"
     LATE = "late"
@@ -40,11 +44,15 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Contest:
-    """A start that doesn't stand and whose engine seems to live.
+class _Challenge:
+    """A start that was not accepted, and the rows that name it.
 
     Attributes:
-        revision: Of the newest row counted; one that is told again is none.
+        born_ms: The start.
+        began_at: When its first row came; monotonic seconds.
+        revision: Revision of the newest counted row; a row that is received
+            again doesn't count.
+        rows: Number of counted rows.
     """
 
     born_ms: int
@@ -58,30 +66,38 @@
     """Starts of one engine.
 
     Attributes:
-        standing: The one that stands.
-        refuted: Starts from this one on have to prove themselves too, since
-            it had stood and was overturned; None for none.
+        standing: The accepted one.
+        distrusted_from: Starts from this one on are not accepted at once, since
+            it was accepted before and was replaced by an earlier one. None if
+            there is none.
+        challenge: The start that may replace the accepted one, if any.
     """
 
     standing: int
-    refuted: int | None = None
-    contest: _Contest | None = None
+    distrusted_from: int | None = None
+    challenge: _Challenge | None = None
 
     def is_credible(self, born_ms: int) -> bool:
-        """Returns whether a start stands at once."""
+        """Returns whether a start is accepted at once."""
         if born_ms < self.standing:
             return False
-        return self.refuted is None or born_ms < self.refuted
+        return self.distrusted_from is None or born_ms < self.distrusted_from
 
     def overturn(self, born_ms: int) -> None:
-        """Lets a start stand that has proved itself."""
-        self.refuted = self.standing if born_ms < self.standing else None
+        """Replaces the accepted start."""
+        self.distrusted_from = (
+            self.standing if born_ms < self.standing else None
+        )
         self.standing = born_ms
-        self.contest = None
+        self.challenge = None
 
 
 class EngineStarts:
-    """The starts of all engines."""
+    """Keeps the starts of all engines.
+
+    Attributes:
+        known: By engine; the least recently seen first.
+    """
 
     def __init__(self) -> None:
         self.known: collections.OrderedDict[str, _Starts] = (
@@ -89,57 +105,58 @@
         )
 
     def standing(self, engine: str) -> int:
-        """Returns the start that stands; 0 if none is known."""
+        """Returns the accepted start; 0 if none is known."""
         known = self.known.get(engine)
         return known.standing if known is not None else 0
 
     def judge(
         self, engine: str, born_ms: int, revision: int, now: float
     ) -> StartVerdict:
-        """Judges a row, and notes what it shows.
+        """Classifies a row, and records its start.
 
         Args:
-            engine: The engine's own name.
+            engine: Name of the engine, which is the same for all its starts.
             born_ms: The start that the row names; 0 for none.
-            revision: Of the row; grows over the whole store.
+            revision: Revision of the row; it increases over the whole store.
             now: Monotonic seconds.
         """
         known = self.known.get(engine)
         if known is None:
             if born_ms:
-                self._keep(engine, _Starts(born_ms))
+                self._remember(engine, _Starts(born_ms))
             return StartVerdict.STANDS
-        self._keep(engine, known)
+        self._remember(engine, known)
         if known.is_credible(born_ms):
             known.standing = born_ms
-            known.contest = None
+            known.challenge = None
             return StartVerdict.STANDS
         if self._is_proved(known, born_ms, revision, now):
             known.overturn(born_ms)
             return StartVerdict.OVERTURNS
         return StartVerdict.LATE
 
-    def _keep(self, engine: str, starts: _Starts) -> None:
+    def _remember(self, engine: str, starts: _Starts) -> None:
         self.known[engine] = starts
         self.known.move_to_end(engine)
-        while len(self.known) > STARTS_KEPT:
+        while len(self.known) > MAX_TRACKED_ENGINES:
             self.known.popitem(last=False)
 
     def _is_proved(
         self, known: _Starts, born_ms: int, revision: int, now: float
     ) -> bool:
-        contest = known.contest
-        if contest is None or contest.born_ms != born_ms:
-            known.contest = _Contest(born_ms, now, revision)
+        challenge = known.challenge
+        if challenge is None or challenge.born_ms != born_ms:
+            known.challenge = _Challenge(born_ms, now, revision)
             return False
-        if revision > contest.revision:
-            contest.revision = revision
-            contest.rows += 1
+        if revision > challenge.revision:
+            challenge.revision = revision
+            challenge.rows += 1
         return (
-            contest.rows >= CONTEST_ROWS and now - contest.began_at >= CONTEST_S
+            challenge.rows >= CHALLENGE_ROWS
+            and now - challenge.began_at >= CHALLENGE_S
         )
 
 
 def create_engine_starts() -> EngineStarts:
-    """Creates an account that knows of no engine."""
+    """Creates a record without any engine."""
     return EngineStarts()
--- a/src/almondshift/policy/feed_readers.py
+++ b/src/almondshift/policy/feed_readers.py
@@ -1,19 +1,19 @@
 """Which nodes read the store's tables for the others.
 
-Load pattern: hundreds of nodes that each follow two tables ask the store for
-changes some times a second each, most of all while it is away and all try
-again. What the store can do, and is paid for, goes into questions that nearly
-all have the same answer.
-
-So in a large group a few nodes follow the store, and the others ask them. What
-a reader knows carries its age, so that a node notices when its reader has lost
-the store, and asks another reader or the store itself.
-
-Grounds: up to ``FEW_NODES`` each follows the store, which spares a hop where
-calls are few. A reader costs the same calls whatever its zone, so their number
-follows the nodes that ask them and not the zones. They stand in as many zones
-as there are; each node has two of its own among them, one of which is left
-when the other is restarted or turned away by the store.
+Load pattern: hundreds of nodes that each follow two tables poll the store for
+changes several times a second, and most often while it is unavailable and all
+retry. The capacity of the store, which is paid for, is spent on queries that
+nearly all have the same answer.
+
+So in a large group a few nodes, the readers, follow the store, and the others
+query them. A reader's answer states the age of its data, so that a node notices
+when its reader has lost the store, and queries another reader or the store.
+
+In groups of up to ``FEW_NODES`` nodes each follows the store, which saves a hop
+where there are few calls. A reader makes the same calls in any zone, so that
+the number of readers depends on the number of nodes and not of zones. Readers
+are spread over as many zones as possible. Each node prefers two of them, one of
+which remains when the other restarts or is refused by the store.
 """
 
 from __future__ import annotations
@@ -28,42 +28,46 @@
     from collections.abc import Sequence
 
 FEW_NODES = 16
-"""Nodes that all follow the store: two calls each in 2.5 s are 13 a second."""
+"""Maximum size of a group in which all nodes follow the store; two calls per
+node in 2.5 s are 13 a second."""
 
-FEWEST_READERS = 3
-"""A store that turns away a third of the nodes leaves one of three in 26 of 27
-outages, and stand-ins in the rest."""
+MIN_READERS = 3
+"""Minimum number of readers. If a store refuses a third of the nodes, one of
+three readers still works in 26 of 27 outages, and stand-ins serve in the
+rest."""
 
 NODES_PER_READER = 40
-"""Each of them asks twice a second at the most, for two tables."""
+"""Nodes per reader; each of them sends at most two queries a second, for two
+tables."""
 
 READER_WAIT_S = 1.8
-"""How long a reader's question for changes stays open at the store. A reader
-that lost the store without a word is noticed after one such time."""
+"""Duration of a reader's long poll for changes at the store, in seconds. A
+silent loss of the store is noticed after this time."""
 
 ASKED_WAIT_S = 1.0
-"""How long another node's question stays open at a reader. One that lost power
-is noticed after one such time."""
+"""Duration of another node's long poll at a reader, in seconds. A reader that
+lost power is noticed after this time."""
 
 MAX_AGE_S = 2.4
-"""Older news of a reader is not relied on: above its question's time and its
-pause between two."""
+"""Maximum age of a reader's data, in seconds; longer than its long poll plus
+the pause between two polls."""
 
 AWAY_S = 2.0
-"""A reader that says that it lost the store is passed over for so long."""
+"""Time for which a reader that reports the loss of the store is avoided, in
+seconds."""
 
 SILENT_S = 5.0
-"""The same for one that says nothing: each question to it costs the time that
-it has for an answer, and peers count as silent only after some seconds."""
+"""The same for a reader that does not answer. Each query to it costs a whole
+time-out, and peers count as silent only after some seconds."""
 
 PROBES_PER_S = 20.0
-"""Calls a second that all nodes together make to a store that seems away to
-its readers and to them, beside the readers' own."""
+"""Calls per second that all nodes together make to a store that seems
+unavailable to them and to the readers; the readers' own calls come on top."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GroupNode:
-    """A node that serves."""
+    """A serving node of the group."""
 
     name: str
     zone: str
@@ -71,12 +75,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Readers:
-    """Who reads the store for a group.
+    """The nodes that read the store for a group.
 
     Attributes:
         chosen: The nodes that follow the store.
-        stand_ins: As many others, asked where none of those can help. They
-            read the store themselves then, like any node without a reader.
+        stand_ins: Up to as many others, queried when none of ``chosen`` can
+            answer. They then read the store themselves, like any node without
+            a reader.
     """
 
     chosen: tuple[GroupNode, ...]
@@ -84,19 +89,19 @@
 
 
 def chosen_readers(nodes: Iterable[GroupNode]) -> Readers:
-    """Returns who follows the store; all nodes of a small group.
+    """Returns the readers of a group; all nodes if it is small.
 
     Nodes that see the same group choose the same readers.
     """
     known = sorted(nodes, key=lambda node: node.name)
     if len(known) <= FEW_NODES:
         return Readers(tuple(known))
-    count = max(FEWEST_READERS, math.ceil(len(known) / NODES_PER_READER))
-    places: dict[str, int] = {}
+    count = max(MIN_READERS, math.ceil(len(known) / NODES_PER_READER))
+    counts: dict[str, int] = {}
     ranked = []
     for node in known:
-        place = places[node.zone] = places.get(node.zone, 0) + 1
-        ranked.append((place, node.name, node))
+        rank = counts[node.zone] = counts.get(node.zone, 0) + 1
+        ranked.append((rank, node.name, node))
     ranked.sort()
     first = tuple(node for _, _, node in ranked[: 2 * count])
     return Readers(first[:count], first[count:])
@@ -105,14 +110,15 @@
 def own_order(name: str, readers: Sequence[GroupNode]) -> list[str]:
     """Returns readers in the order in which a node prefers them.
 
-    Each node has an order of its own, so that all readers get about as many
-    questions, and a reader that goes leaves its nodes to all the others.
+    Each node has its own order (rendezvous hashing), so that all readers get
+    about the same number of queries, and the nodes of a reader that leaves are
+    distributed over all others.
     """
     return sorted((r.name for r in readers), key=lambda r: _weight(name, r))
 
 
 def probe_pause_s(nodes: int) -> float:
-    """Returns the mean pause between a node's calls to an absent store."""
+    """Returns the mean interval of a node's calls to an unavailable store."""
     return max(1, nodes) / PROBES_PER_S
 
 
--- a/src/almondshift/policy/first_event_wait.py
+++ b/src/almondshift/policy/first_event_wait.py
@@ -1,54 +1,54 @@
-"""How long a stream may be without a first event before it runs elsewhere.
+"""How long a stream may wait for its first event before it is run elsewhere.
 
 Load pattern: an endpoint runs requests and loses their answers, or hangs,
-while its health check and its reports are good. Such a caller waits in
-silence until it leaves, seconds after other streams had their first event.
+while its health check and its reports are good. A caller then gets nothing and
+leaves, seconds after other streams had their first event.
 
-So a stream whose first event is overdue by what is usual here is run again
-over another path. When all streams are late, as in a burst, the usual time
-grows with them and nothing is run twice for it: a stream that was given up
-counts with the time that it waited.
+So a stream whose first event is overdue, compared with the usual time at this
+node, is run again over another path. When all streams are late, as in a burst,
+the usual time grows and they are not run twice: an abandoned stream counts with
+the time that it waited.
 """
 
 from __future__ import annotations
 
 SMOOTHING = 0.25
-"""Weight of the newest stream."""
+"""Weight of the newest stream in the moving average."""
 
 OVERDUE_FACTOR = 3.0
 """Multiple of the usual time after which a first event is overdue."""
 
 OBJECTIVE_SHARE = 0.5
-"""Share of the objective that is waited at least: the rest is enough for a
-second run when endpoints are not loaded."""
+"""Minimum wait as a share of the objective: the rest is enough for a second run
+when endpoints are not loaded."""
 
 
 class FirstEventWait:
-    """Learns how long first events take, per service.
+    """Tracks how long first events take, per service.
 
     Attributes:
-        usual_s: Smoothed time to the first event.
+        usual_s: Smoothed time to the first event, by service.
     """
 
     def __init__(self) -> None:
         self.usual_s: dict[str, float] = {}
 
     def note(self, service: str, seconds: float) -> None:
-        """Notes the time to a first event, or until one was given up."""
+        """Records the time to a first event, or to the end of the wait."""
         usual_s = self.usual_s.get(service, seconds)
         self.usual_s[service] = usual_s + SMOOTHING * (seconds - usual_s)
 
     def overdue_s(self, service: str, objective_s: float) -> float:
-        """Returns after how long a first event is overdue.
+        """Returns the time after which a first event is overdue.
 
         Args:
-            service: Where the stream was sent.
-            objective_s: Time within which a first event is on time.
+            service: The service of the stream.
+            objective_s: The objective for the time to the first event.
         """
         usual_s = self.usual_s.get(service, objective_s)
         return max(OBJECTIVE_SHARE * objective_s, OVERDUE_FACTOR * usual_s)
 
 
 def create_first_event_wait() -> FirstEventWait:
-    """Creates a wait that has seen no stream."""
+    """Creates a tracker without any times."""
     return FirstEventWait()
--- a/src/almondshift/policy/group_size.py
+++ b/src/almondshift/policy/group_size.py
@@ -1,22 +1,23 @@
-"""How many nodes share the engines, also before a node has met the others.
-
-Load pattern: all nodes of a group start at once, after a loss of power or an
-outage of the platform, and all callers that were turned away come back within
-the same second. A node takes the others for like it to judge how full engines
-are. One that has met nobody yet takes itself for the only one: engines look
-empty, all nodes send everything to the same few, and these refuse what others
-had room for.
-
-Grounds: each node that starts writes a row to the store and then reads all
-rows, within some ms. Rows of nodes that are gone stay for minutes, so that
-rows alone would count too many for good; peers alone count too few until all
-have met. Rows are counted only while that takes.
+"""How many nodes share the engines, even before a node has found its peers.
+
+Load pattern: all nodes of a group start at once, after a power loss or an
+outage of the platform, and all rejected callers come back within the same
+second. A node extrapolates from its own requests how full engines are. One that
+has not found any peer yet assumes that it is alone: engines look empty, all
+nodes send everything to the same few, and these refuse requests for which
+others had room.
+
+Each node that starts writes a row to the store and then reads all rows, within
+some ms. Rows of nodes that are gone remain for minutes, so that rows alone give
+too high a count; peers alone give too low a count until all are found. So rows
+are used only during discovery.
 """
 
 from __future__ import annotations
 
-MEETING_S = 6.0
-"""Nodes that start together have met by then, also in a large group."""
+DISCOVERY_S = 6.0
+"""Time within which nodes that start together find each other, in seconds, even
+in a large group."""
 
 
 class GroupSize:
@@ -33,11 +34,11 @@
         """Returns how many nodes share the engines, this one included.
 
         Args:
-            serving: Peers that are known to live and to stay.
+            serving: Peers that are alive and not leaving.
             written: Nodes that have a row in the store, this one included.
             now: Monotonic seconds.
         """
-        met = 1 + serving
-        if now - self.started_at < MEETING_S:
-            return max(met, written)
-        return met
+        known = 1 + serving
+        if now - self.started_at < DISCOVERY_S:
+            return max(known, written)
+        return known
--- a/src/almondshift/policy/layer_copies.py
+++ b/src/almondshift/policy/layer_copies.py
@@ -1,15 +1,16 @@
-"""Where one more engine helps most: faster layers, or a second copy.
-
-Load pattern: an engine comes empty, or stands by with layers that others hold
-too. Streams take the fastest engine of each layer, and each of them pauses
-when that one dies. A fast engine helps where only slower ones hold layers; a
-slow one helps as a second copy, ready for streams to be moved to without any
-load, and most where a loss would leave the longest hole.
-
-Grounds: the time of a token is the sum over its layers, so the gain of a range
-is a sum too, and the best range of a length is found in one pass. What a hole
-costs grows with the layers to load (a sixth of a second each on a model that
-loads in 14 s), so a layer is worth what its only holder holds.
+"""Which layers an additional engine should hold: faster or second copies.
+
+Load pattern: an engine joins empty, or is a standby whose layers others hold
+too. Streams use the fastest engine of each layer, and pause when it dies. A
+fast engine helps most where only slower ones hold the layers. A slow one helps
+as a second copy, to which streams can be moved without loading any layers, and
+most where a loss would leave the longest hole.
+
+The time of a token is the sum over its layers, so that the gain of a range is a
+sum too, and the best range of a given length is found in one pass. The cost of
+a hole grows with the layers to load (a sixth of a second each on a model that
+loads in 14 s), so that a second copy of a layer is valued by the number of
+layers that its only holder holds.
 """
 
 from __future__ import annotations
@@ -29,45 +30,48 @@
 
     from almondshift.model import engine_specs
 
-CARRY_SHARE = 0.72
-"""Share of its cards that the weights of a chain which carries streams may
-take. What is left holds 30,000 tokens where a chain has 200 GB and a token
-takes 1.8 MB; three such chains with 39 streams a second were three quarters
-full. A chain of fewer, faster cards would be faster still and refuse."""
+SERVING_WEIGHTS_SHARE = 0.72
+"""Maximum share of its cards' memory for the weights of a serving chain. The
+rest holds 30,000 tokens if a chain has 200 GB and a token takes 1.8 MB; three
+such chains with 39 streams a second were three quarters full. A chain of fewer,
+faster cards would be faster but would refuse requests."""
 
-SECOND_COPY_VALUE = 0.01
-"""Value of a third copy of a layer beside that of a second one: an engine goes
-anywhere rather than nowhere."""
+FURTHER_COPY_VALUE = 0.01
+"""Value of another copy of a layer with several holders, in layers to load,
+divided by their number. Above 0, so that an engine gets some layers rather than
+none."""
 
-GAIN_FIRST = 1_000.0
-"""Weight of a faster layer beside a second copy: streams are slowed all the
-time, and struck by a loss now and then."""
+SPEED_WEIGHT = 1_000.0
+"""Weight of a faster copy of a layer relative to a second copy: slow layers
+delay streams all the time, while losses are rare."""
 
-MIN_SPREAD = 1.5
-"""A standby goes elsewhere for so many times what its layers are worth, and a
-hole of one layer more: loads cost, and each move must leave less at risk."""
+MIN_MOVE_RATIO = 1.5
+"""A standby moves to layers worth more than this many times its present ones
+plus one layer without a holder. Loads are costly, and each move must reduce the
+risk."""
 
-ROUNDING = 1.0 - 1e-9
-"""A sum over a part of the layers may be rounded above that over all."""
+ROUNDING_MARGIN = 1.0 - 1e-9
+"""Allows for rounding: the sum over some layers may exceed that over all."""
 
-MIN_GAIN = 0.15
-"""Share of a token's time that a move of a standby engine has to save; it costs
-a load of seconds."""
+MIN_GAIN_SHARE = 0.15
+"""Minimum share of a token's time that the move of a standby engine must save,
+since its load takes seconds."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LayerHolders:
-    """Who holds each layer of a model.
+    """Who holds each layer of a model; lists have an element for each layer.
 
-    It answers what would be left without any one engine. Looked up anew for
-    each engine, a plan for 822 engines kept a node's only thread for 2.1 s.
+    From this, what remains without any one engine is derived. Computing that
+    from scratch for each engine, a plan for 822 engines blocked a node's only
+    thread for 2.1 s.
 
     Attributes:
-        fastest: Step factor of the fastest holder; infinite for none.
-        second: That of the next one, which may be as fast.
+        fastest: Step factor of the fastest holder; infinite if there is none.
+        second: Step factor of the second fastest, which may be equal.
         copies: Number of holders.
-        counts: Sum of how many layers the holders hold.
-        slowest: Greatest step factors of the engines, two at the most.
+        counts: Sum of the numbers of layers that the holders hold.
+        slowest: The up to two greatest step factors of all engines.
     """
 
     fastest: list[float]
@@ -77,7 +81,12 @@
     slowest: tuple[float, ...]
 
     def fastest_other(self, layer: int, step_factor: float) -> float:
-        """Returns the fastest holder of a layer beside one that holds it."""
+        """Returns the least step factor of a layer's holders other than one.
+
+        Args:
+            layer: The layer.
+            step_factor: Step factor of the holder to leave out.
+        """
         if self.fastest[layer] == step_factor:
             return self.second[layer]
         return self.fastest[layer]
@@ -87,10 +96,10 @@
         engine: layer_holdings.PlannedEngine,
         present: model_layers.LayerRange,
     ) -> LayerHolders:
-        """Returns what is left without an engine; its ``second`` is unknown."""
+        """Returns the holders without an engine; ``second`` is left empty."""
         fastest, copies = list(self.fastest), list(self.copies)
         counts = list(self.counts)
-        for layer in layer_holdings.within(present, len(fastest)):
+        for layer in layer_holdings.valid_layers(present, len(fastest)):
             fastest[layer] = self.fastest_other(layer, engine.step_factor)
             copies[layer] -= 1
             counts[layer] -= present.count
@@ -108,9 +117,9 @@
     """Returns who holds each layer."""
     fastest, second = [math.inf] * layers, [math.inf] * layers
     copies, counts = [0] * layers, [0] * layers
-    for engine, present in layer_holdings.holding(engines, held):
+    for engine, present in layer_holdings.engines_with_layers(engines, held):
         factor = engine.step_factor
-        for layer in layer_holdings.within(present, layers):
+        for layer in layer_holdings.valid_layers(present, layers):
             copies[layer] += 1
             counts[layer] += present.count
             if factor < fastest[layer]:
@@ -130,26 +139,26 @@
     return layer_holders(engines, held, layers).fastest
 
 
-def placed_empty(
+def place_empty(
     group: Sequence[layer_holdings.PlannedEngine],
     held: layer_holdings.Holdings,
     engine: layer_holdings.PlannedEngine,
     spec: engine_specs.EngineSpec,
 ) -> model_layers.LayerRange | None:
-    """Returns the range that an empty engine should hold, if any fits."""
+    """Returns the range that an empty engine should hold; None if none fits."""
     holders = layer_holders(group, held, spec.layers)
-    return _placed(holders, engine, spec, _gains(holders, engine))
+    return _best_placement(holders, engine, spec, _gains(holders, engine))
 
 
-def second_copy(
+def place_second_copy(
     group: Sequence[layer_holdings.PlannedEngine],
     held: layer_holdings.Holdings,
     engine: layer_holdings.PlannedEngine,
     spec: engine_specs.EngineSpec,
 ) -> model_layers.LayerRange | None:
-    """Returns the range where a second copy spares the longest holes."""
+    """Returns the range where a second copy avoids the longest holes."""
     holders = layer_holders(group, held, spec.layers)
-    return _best_copied(_copy_values(holders), engine, spec)
+    return _best_copy_range(_copy_values(holders), engine, spec)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -157,8 +166,8 @@
     """A standby engine.
 
     Attributes:
-        present: What it holds.
-        others: Who holds each layer without it.
+        present: The layers that it holds.
+        others: The holders of each layer without it.
     """
 
     engine: layer_holdings.PlannedEngine
@@ -166,69 +175,69 @@
     others: LayerHolders
 
 
-def improved(
+def improve(
     group: Sequence[layer_holdings.PlannedEngine],
     held: layer_holdings.Holdings,
     spec: engine_specs.EngineSpec,
 ) -> tuple[str, model_layers.LayerRange] | None:
-    """Returns a standby engine that should hold something else, and what.
+    """Returns a standby engine that should hold other layers, and which.
 
-    Nothing that only it holds is given up.
+    It gives up no layer that only it holds.
     """
     holders = layer_holders(group, held, spec.layers)
     known = [
         _Standby(engine, present, holders.without(engine, present))
         for engine, present in _standby_layers(group, held, spec.layers)
     ]
-    change = _promoted(known, sum(holders.fastest), spec)
-    return change or _spread(known, spec)
+    change = _promote(known, sum(holders.fastest), spec)
+    return change or _relocate(known, spec)
 
 
-def _promoted(
+def _promote(
     known: Sequence[_Standby], total: float, spec: engine_specs.EngineSpec
 ) -> tuple[str, model_layers.LayerRange] | None:
-    """Returns a standby engine that should carry, and what it should hold.
+    """Returns a standby engine that should serve, and the layers to hold.
 
-    After an engine is lost for good, a slow second copy carries its layers.
-    A faster engine that stands by elsewhere takes its place.
+    After an engine is lost for good, a slow second copy serves its layers until
+    a faster standby of other layers takes its place.
 
     Args:
         known: The standbys.
         total: Sum over all layers of the fastest holder's step factor.
-        spec: Figures of the model.
+        spec: Parameters of the model.
     """
     for standby in known:
         engine, others = standby.engine, standby.others
         gains = _gains(others, engine)
-        # Most could gain too little anywhere; the place is looked for, which
-        # takes longer than all before, only for the rest.
-        if sum(gains) < MIN_GAIN * total * ROUNDING:
+        # Most standbys gain too little anywhere. The search for the best range,
+        # the most expensive step, is done only for the others.
+        if sum(gains) < MIN_GAIN_SHARE * total * ROUNDING_MARGIN:
             continue
-        found = _placed(others, engine, spec, gains)
+        found = _best_placement(others, engine, spec, gains)
         if found is None or found == standby.present:
             continue
-        if sum(gains[found.start : found.end]) >= MIN_GAIN * total:
+        if sum(gains[found.start : found.end]) >= MIN_GAIN_SHARE * total:
             return engine.instance, found
     return None
 
 
-def _spread(
+def _relocate(
     known: Sequence[_Standby], spec: engine_specs.EngineSpec
 ) -> tuple[str, model_layers.LayerRange] | None:
-    """Returns a standby engine that is worth more elsewhere, and where.
+    """Returns a standby engine that is worth more elsewhere, and its layers.
 
-    Engines that filled a hole stay with the few layers that it needed, and
-    others gather beside what is held twice already.
+    Otherwise engines that filled a hole would keep only the few layers that it
+    needed, and others would hold further copies of layers that are held twice.
     """
     for standby in known:
         present = standby.present
         values = _copy_values(standby.others)
-        found = _best_copied(values, standby.engine, spec)
+        found = _best_copy_range(values, standby.engine, spec)
         if found is None:
             continue
         worth = sum(values[present.start : present.end])
         better = sum(values[found.start : found.end])
-        if better > worth * MIN_SPREAD + spec.layers:
+        if better > worth * MIN_MOVE_RATIO + spec.layers:
             return standby.engine.instance, found
     return None
 
@@ -238,7 +247,10 @@
     held: layer_holdings.Holdings,
     layers: int,
 ) -> list[layer_holdings.PlannedEngine]:
-    """Returns engines whose layers others as fast hold, the fastest first."""
+    """Returns engines whose layers others hold that are as fast or faster.
+
+    The fastest come first.
+    """
     return [engine for engine, _ in _standby_layers(group, held, layers)]
 
 
@@ -248,10 +260,10 @@
     layers: int,
     most: int,
 ) -> list[layer_holdings.PlannedEngine]:
-    """Returns up to ``most`` standbys that can all leave their layers at once.
+    """Returns up to ``most`` standbys that can all give up layers at once.
 
-    Two that hold the same second copies each stand by for the other; taken one
-    by one, the second sees that the first is gone.
+    Two engines with the same layers are standbys of each other. They are
+    removed one by one, so that the second no longer counts as a standby.
     """
     left = dict(held)
     found: list[layer_holdings.PlannedEngine] = []
@@ -265,11 +277,11 @@
 
 
 def best_range(values: Sequence[float], most: int) -> model_layers.LayerRange:
-    """Returns the range of ``most`` layers, or of all, of the greatest sum."""
+    """Returns the range of up to ``most`` layers with the greatest sum."""
     count = min(most, len(values))
     sums = [0.0, *itertools.accumulate(values)]
-    within = list(map(operator.sub, sums[count:], sums))
-    start = within.index(max(within))
+    range_sums = list(map(operator.sub, sums[count:], sums))
+    start = range_sums.index(max(range_sums))
     return model_layers.LayerRange(start, start + count)
 
 
@@ -278,46 +290,48 @@
     held: layer_holdings.Holdings,
     layers: int,
 ) -> list[tuple[layer_holdings.PlannedEngine, model_layers.LayerRange]]:
-    """Returns the standbys, the fastest first, with what they hold.
+    """Returns the standbys and their layers, the fastest first.
 
-    An engine that is carrying out an order is none, and may not hold yet what
-    others would rely on.
+    Engines that are carrying out an order are neither standbys nor counted as
+    holders, since they may not hold their layers yet.
     """
     ready = [e for e in group if not e.is_busy]
     ready.sort(key=lambda e: (e.step_factor, e.instance))
     holders = layer_holders(ready, held, layers)
     found = []
-    for engine, present in layer_holdings.holding(ready, held):
+    for engine, present in layer_holdings.engines_with_layers(ready, held):
         factor = engine.step_factor
-        own = layer_holdings.within(present, layers)
+        own = layer_holdings.valid_layers(present, layers)
         if all(holders.fastest_other(layer, factor) <= factor for layer in own):
             found.append((engine, present))
     return found
 
 
-def _placed(
+def _best_placement(
     holders: LayerHolders,
     engine: layer_holdings.PlannedEngine,
     spec: engine_specs.EngineSpec,
     gains: list[float],
 ) -> model_layers.LayerRange | None:
-    most = layer_holdings.most_layers(engine, spec, CARRY_SHARE)
+    most = layer_holdings.most_layers(engine, spec, SERVING_WEIGHTS_SHARE)
     copies = _copy_values(holders)
     if sum(gains) <= 0.0 or most < 1:
-        return _best_copied(copies, engine, spec)
+        return _best_copy_range(copies, engine, spec)
     values = [
-        gain * GAIN_FIRST + copy
+        gain * SPEED_WEIGHT + copy
         for gain, copy in zip(gains, copies, strict=True)
     ]
     return best_range(values, most)
 
 
-def _best_copied(
+def _best_copy_range(
     values: list[float],
     engine: layer_holdings.PlannedEngine,
     spec: engine_specs.EngineSpec,
 ) -> model_layers.LayerRange | None:
-    most = layer_holdings.most_layers(engine, spec, layer_holdings.EXTEND_SHARE)
+    most = layer_holdings.most_layers(
+        engine, spec, layer_holdings.MAX_WEIGHTS_SHARE
+    )
     if most < 1:
         return None
     return best_range(values, most)
@@ -326,10 +340,10 @@
 def _gains(
     holders: LayerHolders, engine: layer_holdings.PlannedEngine
 ) -> list[float]:
-    """Returns what an engine would save at each layer, in step factors.
+    """Returns the time an engine would save at each layer, in step factors.
 
-    A layer that nobody holds counts as slower than the slowest engine, so that
-    holes go first without hiding other differences.
+    A layer without a holder counts as slower than on the slowest engine. Holes
+    are thus filled first, while other differences still count.
     """
     own = engine.step_factor
     slowest = max(holders.slowest, default=own)
@@ -341,13 +355,13 @@
 
 
 def _copy_values(holders: LayerHolders) -> list[float]:
-    """Returns what one more copy of each layer is worth, in layers to load."""
+    """Returns the value of one more copy of each layer, in layers to load."""
     layers = float(len(holders.copies))
     return [
         layers
         if not count
         else float(alone)
         if count == 1
-        else SECOND_COPY_VALUE / count
+        else FURTHER_COPY_VALUE / count
         for count, alone in zip(holders.copies, holders.counts, strict=True)
     ]
--- a/src/almondshift/policy/layer_holdings.py
+++ b/src/almondshift/policy/layer_holdings.py
@@ -1,4 +1,4 @@
-"""Engines with the layers that they hold, as plans see them."""
+"""Engines and the layers that they hold, as input of the layer plan."""
 
 from __future__ import annotations
 
@@ -13,26 +13,27 @@
     from almondshift.model import engine_specs
     from almondshift.model import layers as model_layers
 
-EXTEND_SHARE = 0.85
-"""Share of a card that its layers may take when it stands in for a dead
-neighbour; the rest still holds some requests. At 0.8 the last engine of a
-chain, which has one neighbour, left a layer that nobody took."""
+MAX_WEIGHTS_SHARE = 0.85
+"""Maximum share of a card's memory for layers when it replaces a dead
+neighbour; the rest still holds some requests. At 0.8 the loss of the last
+engine of a chain, which has one neighbour, left a layer that no engine took."""
 
 Holdings = dict[str, "model_layers.LayerRange | None"]
-"""Layers by engine, with the orders of the present plan."""
+"""Layers by engine, including the orders of the plan in progress."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlannedEngine:
-    """An engine as the plan sees it.
+    """An engine as input of the layer plan.
 
     Attributes:
-        held: The layers that it holds, or was ordered to hold.
-        is_busy: Whether it is carrying out an order, and takes no other.
-        is_slow: Whether it is much slower than its kind.
-        step_factor: Time of a step of its kind relative to the published.
-        is_unanswered: Whether it said nothing to the order that it has.
-        certain: If so, what it holds whether it took the order or not.
+        held: The layers that it holds or was ordered to hold.
+        is_busy: Whether it is carrying out an order and takes no other.
+        is_slow: Whether it is much slower than others of its kind.
+        step_factor: Step time of its kind relative to the published one.
+        is_unanswered: Whether it has not answered its latest order.
+        certain: The layers that it then holds whether or not it carried out
+            the order.
     """
 
     instance: str
@@ -46,21 +47,21 @@
     certain: model_layers.LayerRange | None = None
 
 
-def holding(
+def engines_with_layers(
     engines: Iterable[PlannedEngine], held: Holdings
 ) -> Iterator[tuple[PlannedEngine, model_layers.LayerRange]]:
-    """Yields the engines that hold something, and what they hold."""
+    """Yields the engines that hold layers, and their layers."""
     for engine in engines:
         present = held[engine.instance]
         if present is not None:
             yield engine, present
 
 
-def within(present: model_layers.LayerRange, layers: int) -> range:
-    """Returns the layers of a range that a model has.
+def valid_layers(present: model_layers.LayerRange, layers: int) -> range:
+    """Returns the layers of a range that the model has.
 
-    An entry may name more: it was written by another writer, or for another
-    model.
+    A registry entry may name more, if it was written by another program or for
+    another model.
     """
     return range(present.start, min(present.end, layers))
 
--- a/src/almondshift/policy/layer_plan.py
+++ b/src/almondshift/policy/layer_plan.py
@@ -1,18 +1,19 @@
 """Which layers each engine should hold.
 
-Load pattern: cards of mixed speed and memory, none of which holds the model;
-requests need memory beside the weights; engines die and come back empty. Each
-stream that is under way is struck when an engine of its path dies or its node
-does, so what a stream takes decides how many are struck. With one chain over
-all cards of a zone most layers run on the slowest ones, and a lost engine
-leaves a hole until its layers are loaded elsewhere.
+Load pattern: cards of mixed speed and memory, none of which can hold the whole
+model; requests need memory beside the weights; engines die and come back empty.
+A running stream is interrupted when its node or an engine of its path dies, so
+that the duration of streams determines how many are interrupted. With one chain
+over all cards of a zone most layers would run on the slowest ones, and a lost
+engine would leave a hole, layers that no engine holds, until they are loaded
+elsewhere.
 
 So in each zone the fastest cards that hold the model with memory for requests
-carry the streams, and the others hold second copies of the same layers: a lost
-engine is replaced by moving streams to them, without any load.
+form the serving chain, and the others hold second copies of the same layers. A
+lost engine is replaced by moving its streams to them, and nothing is loaded.
 
-Grounds for the figures stand with them. The plan is a function of what
-engines report, so whoever runs it continues what another began.
+The plan is a function of what engines report, so that any node can continue
+what another one began.
 """
 
 from __future__ import annotations
@@ -31,24 +32,26 @@
 
     from almondshift.model import engine_specs
 
-MAX_TAKERS = 3
-"""Standbys that share a hole: three parts load in half a second where one
-engine would take a second and a half, and each leaves second copies behind."""
+MAX_STANDBYS_PER_HOLE = 3
+"""Maximum number of standbys that share a hole. Three load their parts in half
+a second where one would take a second and a half, but each gives up second
+copies."""
 
 SLOW_SHARE = 0.3
-"""Slow engines are planned without up to this share of a zone's memory;
-beyond it the others could not hold all layers and still serve requests."""
+"""Slow engines are left out of the plan if they have at most this share of a
+zone's memory. If they have more, the others could not hold all layers and still
+serve requests."""
 
 UNANSWERED_SHARE = 0.3
-"""Engines that left an order without an answer are planned without up to this
-share of a zone's memory. Beyond it the others could not hold all layers, and it
-is rather the link of the node that gives the orders than the engines: all that
-are well would load for nothing."""
+"""Engines that did not answer an order are counted only for layers they surely
+hold, if they have at most this share of a zone's memory. If they have more, the
+others could not hold all layers, and the cause is more likely the network link
+of the node that sends the orders: healthy engines would load for nothing."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LayerOrder:
-    """An engine should hold these layers."""
+    """The layers that an engine should hold."""
 
     instance: str
     layers: model_layers.LayerRange
@@ -58,28 +61,28 @@
     engines: Sequence[layer_holdings.PlannedEngine],
     spec: engine_specs.EngineSpec,
 ) -> list[LayerOrder]:
-    """Returns the orders that bring a fleet nearer to whole chains.
+    """Returns the orders that bring a fleet closer to complete chains.
 
     Args:
-        engines: Engines that live and take work.
-        spec: Figures of the model.
+        engines: Engines that are alive and take work.
+        spec: Parameters of the model.
     """
     orders: list[LayerOrder] = []
-    for whole in _groups(engines, spec):
-        quick = _without_slow(whole)
-        group = _without_unanswered(quick)
-        if all(engine.held is None for engine in quick):
-            orders += _fresh(group, spec)
+    for members in _groups(engines, spec):
+        fast = _without_slow(members)
+        group = _without_unanswered(fast)
+        if all(engine.held is None for engine in fast):
+            orders += _plan_empty_group(group, spec)
         else:
-            is_busy = any(engine.is_busy for engine in quick)
-            orders += _mend(group, spec, is_busy)
+            is_busy = any(engine.is_busy for engine in fast)
+            orders += _repair(group, spec, is_busy)
     return orders
 
 
 def _without_slow(
     group: list[layer_holdings.PlannedEngine],
 ) -> list[layer_holdings.PlannedEngine]:
-    """Leaves out slow engines, unless they are too many to do without."""
+    """Leaves out slow engines, unless they hold too much of the memory."""
     memory = sum(e.memory_mb for e in group)
     slow = sum(e.memory_mb for e in group if e.is_slow)
     if slow > SLOW_SHARE * memory:
@@ -90,11 +93,12 @@
 def _without_unanswered(
     group: list[layer_holdings.PlannedEngine],
 ) -> list[layer_holdings.PlannedEngine]:
-    """Counts on engines that did not answer only for what they hold for sure.
+    """Counts an engine that did not answer only for layers it surely holds.
 
-    One that says nothing may have taken its order or not, and may take it
-    seconds later. Counted as obedient, it left its layers without any holder
-    until it answered; what it may have given up could be given up by others.
+    It may or may not have carried out its order, and may do so seconds later.
+    If the order were assumed to be done, its layers could be held by no engine
+    until it answers, and other engines could give up the layers that it may
+    have given up.
     """
     memory = sum(e.memory_mb for e in group)
     unanswered = sum(e.memory_mb for e in group if e.is_unanswered)
@@ -113,7 +117,7 @@
     engines: Sequence[layer_holdings.PlannedEngine],
     spec: engine_specs.EngineSpec,
 ) -> list[list[layer_holdings.PlannedEngine]]:
-    """Returns the engines by zone; zones too small for a copy are joined."""
+    """Returns the engines by zone; zones too small for the model are joined."""
     by_zone: dict[str, list[layer_holdings.PlannedEngine]] = {}
     for engine in sorted(engines, key=lambda e: e.instance):
         by_zone.setdefault(engine.zone, []).append(engine)
@@ -122,7 +126,7 @@
     for zone in sorted(by_zone):
         group = by_zone[zone]
         if (
-            _layers_within(group, spec, layer_holdings.EXTEND_SHARE)
+            _layers_within(group, spec, layer_holdings.MAX_WEIGHTS_SHARE)
             >= spec.layers
         ):
             groups.append(group)
@@ -130,7 +134,7 @@
             small += group
     if small and (
         not groups
-        or _layers_within(small, spec, layer_holdings.EXTEND_SHARE)
+        or _layers_within(small, spec, layer_holdings.MAX_WEIGHTS_SHARE)
         >= spec.layers
     ):
         groups.append(small)
@@ -147,34 +151,35 @@
     return sum(layer_holdings.most_layers(e, spec, share) for e in engines)
 
 
-def _fresh(
+def _plan_empty_group(
     group: list[layer_holdings.PlannedEngine], spec: engine_specs.EngineSpec
 ) -> list[LayerOrder]:
-    """Returns whole chains, the fastest first, and copies on what is left."""
+    """Plans complete chains, the fastest first, and copies on other engines."""
     orders: list[LayerOrder] = []
-    chains, rest = dealt(group, spec)
+    chains, rest = split_into_chains(group, spec)
     for chain in chains:
-        orders += _spread(_arranged(chain), spec)
+        orders += _assign_layers(_order_by_memory(chain), spec)
     held: layer_holdings.Holdings = {e.instance: None for e in group}
     held.update({order.instance: order.layers for order in orders})
     for engine in rest:
-        layers = layer_copies.second_copy(group, held, engine, spec)
+        layers = layer_copies.place_second_copy(group, held, engine, spec)
         if layers is not None:
             held[engine.instance] = layers
             orders.append(LayerOrder(engine.instance, layers))
     return orders
 
 
-def dealt(
+def split_into_chains(
     group: list[layer_holdings.PlannedEngine], spec: engine_specs.EngineSpec
 ) -> tuple[
     list[list[layer_holdings.PlannedEngine]],
     list[layer_holdings.PlannedEngine],
 ]:
-    """Returns the engines dealt into chains, and those that make none.
+    """Splits engines into chains, and returns the remaining engines too.
 
-    A chain is closed as soon as its weights leave room for requests; the next
-    one is made of what is slower. The last one may be fuller: it stands by.
+    A chain is complete as soon as its weights leave room for requests; the next
+    one consists of slower engines. The last chain may leave less room, since it
+    is on standby.
     """
     model_mb = spec.layers * spec.layer_mb
     chains: list[list[layer_holdings.PlannedEngine]] = []
@@ -185,22 +190,22 @@
     for engine in ranked:
         chain.append(engine)
         memory = sum(e.memory_mb for e in chain)
-        if memory * layer_copies.CARRY_SHARE >= model_mb:
+        if memory * layer_copies.SERVING_WEIGHTS_SHARE >= model_mb:
             chains.append(chain)
             chain = []
-    extended = _layers_within(chain, spec, layer_holdings.EXTEND_SHARE)
+    extended = _layers_within(chain, spec, layer_holdings.MAX_WEIGHTS_SHARE)
     if not chains or extended >= spec.layers:
         return [*chains, chain], []
     return chains, chain
 
 
-def _arranged(
+def _order_by_memory(
     chain: list[layer_holdings.PlannedEngine],
 ) -> list[layer_holdings.PlannedEngine]:
-    """Returns a chain with the largest in the middle, smaller ones outwards.
+    """Orders a chain with the largest engine in the middle.
 
-    So the neighbours of each engine are about its size, and the two can take
-    over its layers; at the ends, with one neighbour, stand the smallest.
+    The neighbours of each engine are then about its size and can take over its
+    layers. The smallest engines are at the ends, where there is one neighbour.
     """
     ranked = sorted(chain, key=lambda e: (-e.memory_mb, e.instance))
     arranged: collections.deque[layer_holdings.PlannedEngine] = (
@@ -214,10 +219,10 @@
     return list(arranged)
 
 
-def _spread(
+def _assign_layers(
     chain: list[layer_holdings.PlannedEngine], spec: engine_specs.EngineSpec
 ) -> list[LayerOrder]:
-    """Spreads all layers over a chain, in proportion to memory."""
+    """Distributes all layers over a chain in proportion to memory."""
     counts = layer_holdings.proportional_counts(
         [e.memory_mb for e in chain],
         [layer_holdings.most_layers(e, spec, 1.0) for e in chain],
@@ -234,38 +239,38 @@
     return orders
 
 
-def _mend(
+def _repair(
     group: list[layer_holdings.PlannedEngine],
     spec: engine_specs.EngineSpec,
     is_busy: bool,
 ) -> list[LayerOrder]:
-    """Fills holes, places empty engines, and else improves what is held.
+    """Fills holes and assigns layers to empty engines, or improves the plan.
 
     Args:
-        group: Engines of a chain or more.
-        spec: Figures of the model.
-        is_busy: Whether an order is under way. What it brings is not known
-            yet, so that nothing but holes is mended meanwhile.
+        group: Engines of one or more chains.
+        spec: Parameters of the model.
+        is_busy: Whether an order is in progress. Its result is not known yet,
+            so that held layers are not rearranged meanwhile.
     """
     held = {e.instance: e.held for e in group}
     orders: dict[str, model_layers.LayerRange] = {}
     for start, end in _holes(group, held, spec.layers):
-        _fill(group, held, orders, start, end, spec)
+        _fill_hole(group, held, orders, start, end, spec)
     for engine in group:
         if held[engine.instance] is not None:
             continue
-        layers = layer_copies.placed_empty(group, held, engine, spec)
+        layers = layer_copies.place_empty(group, held, engine, spec)
         if layers is not None:
             held[engine.instance] = layers
             orders[engine.instance] = layers
     if not is_busy:
         is_broken = bool(_holes(group, held, spec.layers))
         if is_broken or (
-            not orders and layer_spread.is_uneven(group, held, spec)
+            not orders and layer_spread.is_unbalanced(group, held, spec)
         ):
-            orders.update(layer_spread.rebalanced(group, held, spec, is_broken))
+            orders.update(layer_spread.rebalance(group, held, spec, is_broken))
         elif not orders:
-            change = layer_copies.improved(group, held, spec)
+            change = layer_copies.improve(group, held, spec)
             if change is not None:
                 orders[change[0]] = change[1]
     return [LayerOrder(name, layers) for name, layers in orders.items()]
@@ -277,8 +282,8 @@
     layers: int,
 ) -> list[tuple[int, int]]:
     covered = [False] * layers
-    for _, present in layer_holdings.holding(group, held):
-        for layer in layer_holdings.within(present, layers):
+    for _, present in layer_holdings.engines_with_layers(group, held):
+        for layer in layer_holdings.valid_layers(present, layers):
             covered[layer] = True
     holes: list[tuple[int, int]] = []
     start = 0
@@ -294,7 +299,7 @@
     return holes
 
 
-def _fill(
+def _fill_hole(
     group: list[layer_holdings.PlannedEngine],
     held: layer_holdings.Holdings,
     orders: dict[str, model_layers.LayerRange],
@@ -302,44 +307,53 @@
     end: int,
     spec: engine_specs.EngineSpec,
 ) -> None:
-    """Fills a hole with empty engines and standbys, else with neighbours.
+    """Fills a hole with empty engines and standbys, or also with neighbours.
 
-    Each takes an even part: the hole is mended when the slowest load ends.
-    Neighbours carry streams; one that takes more than its share fills up, and
-    its zone then refuses requests for long after the hole is mended.
+    All get equal parts, since the hole is filled when the slowest load ends.
+    Neighbours serve streams; if one took more than its share, its memory would
+    be full and its zone would refuse requests long after the hole is filled.
     """
     free = [e for e in group if held[e.instance] is None]
-    free += layer_copies.spare_standbys(group, held, spec.layers, MAX_TAKERS)
+    free += layer_copies.spare_standbys(
+        group, held, spec.layers, MAX_STANDBYS_PER_HOLE
+    )
     free_names = {e.instance for e in free}
-    takers = [
-        (e, layer_holdings.most_layers(e, spec, layer_copies.CARRY_SHARE))
+    replacements = [
+        (
+            e,
+            layer_holdings.most_layers(
+                e, spec, layer_copies.SERVING_WEIGHTS_SHARE
+            ),
+        )
         for e in free
     ]
-    if sum(limit for _, limit in takers) < end - start:
+    if sum(limit for _, limit in replacements) < end - start:
         below = _neighbour(group, held, spec, start, is_below=True)
         above = _neighbour(group, held, spec, end, is_below=False)
         if below is not None and below[0].instance not in free_names:
-            takers.insert(0, below)
+            replacements.insert(0, below)
         if above is not None and above[0].instance not in free_names:
-            takers.append(above)
+            replacements.append(above)
     counts = layer_holdings.proportional_counts(
-        [1.0] * len(takers), [limit for _, limit in takers], end - start
+        [1.0] * len(replacements),
+        [limit for _, limit in replacements],
+        end - start,
     )
     position = start
-    for (engine, _), count in zip(takers, counts, strict=True):
+    for (engine, _), count in zip(replacements, counts, strict=True):
         if count == 0:
             continue
         most = layer_holdings.most_layers(
-            engine, spec, layer_holdings.EXTEND_SHARE
+            engine, spec, layer_holdings.MAX_WEIGHTS_SHARE
         )
-        former = held[engine.instance]
-        if former is None or engine.instance in free_names:
+        previous = held[engine.instance]
+        if previous is None or engine.instance in free_names:
             layers = model_layers.LayerRange(position, position + count)
-        elif former.end == start:
-            first = max(former.start, start + count - most)
+        elif previous.end == start:
+            first = max(previous.start, start + count - most)
             layers = model_layers.LayerRange(first, start + count)
         else:
-            last = min(former.end, end - count + most)
+            last = min(previous.end, end - count + most)
             layers = model_layers.LayerRange(end - count, last)
         held[engine.instance] = layers
         orders[engine.instance] = layers
@@ -355,7 +369,7 @@
 ) -> tuple[layer_holdings.PlannedEngine, int] | None:
     """Returns the neighbour that can take most layers of a hole, and how many.
 
-    It may give up layers at its far side that another engine holds too.
+    It may give up layers at its other end that another engine holds too.
     """
     best: tuple[layer_holdings.PlannedEngine, int] | None = None
     for engine in group:
@@ -366,24 +380,26 @@
             continue
         room = (
             layer_holdings.most_layers(
-                engine, spec, layer_holdings.EXTEND_SHARE
+                engine, spec, layer_holdings.MAX_WEIGHTS_SHARE
             )
             - layers.count
         )
-        room += _spare(group, held, engine, layers, at_start=is_below)
+        room += _redundant_layers(
+            group, held, engine, layers, at_start=is_below
+        )
         if room > 0 and (best is None or room > best[1]):
             best = (engine, room)
     return best
 
 
-def _spare(
+def _redundant_layers(
     group: list[layer_holdings.PlannedEngine],
     held: layer_holdings.Holdings,
     engine: layer_holdings.PlannedEngine,
     layers: model_layers.LayerRange,
     at_start: bool,
 ) -> int:
-    """Returns how many layers at one end of a range others hold for sure."""
+    """Returns how many layers at one end of a range others surely hold."""
     others = [
         held[other.instance]
         for other in group
--- a/src/almondshift/policy/layer_spread.py
+++ b/src/almondshift/policy/layer_spread.py
@@ -1,10 +1,10 @@
-"""An even spread of layers over a chain, reached without losing any.
+"""Rebalances the layers of a chain in steps, without giving any up.
 
-Load pattern: after losses, returns and slow spells a zone holds some layers
-twice and others on one small card full of them, or nowhere. What each loss
-mends by itself can't get out of there, and the fullest card decides how many
-requests its whole zone lets in. The even spread keeps the order of the
-engines, so that each loads little, and is approached in steps.
+Load pattern: after engines were lost, came back or were slow for a time, a zone
+holds some layers twice, and others only on one small card full of them, or not
+at all. Repairs after each loss don't resolve that, and the fullest card limits
+the requests that its whole zone admits. The balanced layout keeps the order of
+the engines, so that each loads few layers, and is reached in steps.
 """
 
 from __future__ import annotations
@@ -18,36 +18,36 @@
 if TYPE_CHECKING:
     from almondshift.model import engine_specs
 
-UNEVEN_SHARE = 0.35
-"""A chain is spread anew when its fullest layer has less than this share of
-the memory for requests that a carrying chain leaves: that layer decides how
-many requests the whole zone lets in. A card filled to 0.85, as one that stands
-in for another is, stays above it; spreading sooner would load layers, and
-refuse requests meanwhile, for less than it brings."""
+UNBALANCED_SHARE = 0.35
+"""A chain is rebalanced when its fullest layer has less than this share of the
+memory for requests that a serving chain leaves: that layer limits the requests
+that the whole zone admits. A card filled to 0.85, as one that replaces a
+neighbour, stays above it. Rebalancing sooner would load layers, and refuse
+requests meanwhile, for too small a gain."""
 
 
-def _layer_rooms(
+def _layer_room_mb(
     group: list[layer_holdings.PlannedEngine],
     held: layer_holdings.Holdings,
     spec: engine_specs.EngineSpec,
 ) -> list[float]:
-    """Returns the memory for requests at each layer, in MB a layer."""
+    """Returns the memory for requests at each layer, in MB per layer."""
     rooms = [0.0] * spec.layers
-    for engine, layers in layer_holdings.holding(group, held):
+    for engine, layers in layer_holdings.engines_with_layers(group, held):
         free = engine.memory_mb - layers.count * spec.layer_mb
-        for layer in layer_holdings.within(layers, spec.layers):
+        for layer in layer_holdings.valid_layers(layers, spec.layers):
             rooms[layer] += max(0.0, free) / layers.count
     return rooms
 
 
-def _targets(
+def _balanced_layers(
     group: list[layer_holdings.PlannedEngine],
     held: layer_holdings.Holdings,
     spec: engine_specs.EngineSpec,
 ) -> layer_holdings.Holdings:
-    """Returns an even spread that keeps the engines' order, or nothing.
+    """Returns balanced layers in the engines' order; empty if they don't fit.
 
-    The order is that of the layers they hold, so that each loads little.
+    The order is that of the layers they hold, so that each loads few layers.
     """
     placed = [(held[e.instance], e) for e in group]
     chain = [
@@ -61,7 +61,9 @@
     counts = layer_holdings.proportional_counts(
         [e.memory_mb for e in chain],
         [
-            layer_holdings.most_layers(e, spec, layer_holdings.EXTEND_SHARE)
+            layer_holdings.most_layers(
+                e, spec, layer_holdings.MAX_WEIGHTS_SHARE
+            )
             for e in chain
         ],
         spec.layers,
@@ -79,38 +81,38 @@
     return targets
 
 
-def is_uneven(
+def is_unbalanced(
     group: list[layer_holdings.PlannedEngine],
     held: layer_holdings.Holdings,
     spec: engine_specs.EngineSpec,
 ) -> bool:
-    """Returns whether a chain lets in much less than an even one would."""
-    targets = _targets(group, held, spec)
+    """Returns whether a chain admits far less than a balanced one would."""
+    targets = _balanced_layers(group, held, spec)
     if not targets:
         return False
     wanted: layer_holdings.Holdings = {
         e.instance: targets.get(e.instance) for e in group
     }
-    usual = spec.layer_mb * (1.0 / layer_copies.CARRY_SHARE - 1.0)
-    possible = min(_layer_rooms(group, wanted, spec))
-    present = min(_layer_rooms(group, held, spec))
-    return present < UNEVEN_SHARE * min(usual, possible)
+    usual = spec.layer_mb * (1.0 / layer_copies.SERVING_WEIGHTS_SHARE - 1.0)
+    possible = min(_layer_room_mb(group, wanted, spec))
+    present = min(_layer_room_mb(group, held, spec))
+    return present < UNBALANCED_SHARE * min(usual, possible)
 
 
-def rebalanced(
+def rebalance(
     group: list[layer_holdings.PlannedEngine],
     held: layer_holdings.Holdings,
     spec: engine_specs.EngineSpec,
     is_broken: bool,
 ) -> dict[str, model_layers.LayerRange]:
-    """Returns the next orders towards an even spread.
+    """Returns the next orders towards a balanced chain.
 
-    An engine first holds its new layers besides the old ones, and gives the
-    old ones up in a later plan, when others hold them. Only in a chain that
-    lacks layers, and so serves nobody by itself, may it give them up at once.
+    An engine first loads its new layers in addition to the old ones, and gives
+    up the old ones in a later plan, when others hold them. It may give them up
+    at once only in a chain that lacks layers and so can't serve by itself.
     """
     orders: dict[str, model_layers.LayerRange] = {}
-    targets = _targets(group, held, spec)
+    targets = _balanced_layers(group, held, spec)
     for engine in group:
         present, target = held[engine.instance], targets.get(engine.instance)
         if present is None or target is None or present == target:
@@ -119,7 +121,7 @@
             min(present.start, target.start), max(present.end, target.end)
         )
         fits = both.count <= layer_holdings.most_layers(
-            engine, spec, layer_holdings.EXTEND_SHARE
+            engine, spec, layer_holdings.MAX_WEIGHTS_SHARE
         )
         if fits and both != present:
             orders[engine.instance] = both
@@ -134,10 +136,10 @@
     present: model_layers.LayerRange,
     target: model_layers.LayerRange,
 ) -> bool:
-    """Returns whether those that should hold what is given up do so already.
+    """Returns whether layers given up are held by those that should hold them.
 
-    That any other engine holds it is not enough: two could give the same
-    layers up at once, each since the other has them.
+    It is not enough that any other engine holds them: two engines could then
+    give up the same layers at once, each relying on the other.
     """
     if not present.covers(target):
         return False
--- a/tests/policy/test_answer_times.py
+++ b/tests/policy/test_answer_times.py
@@ -29,7 +29,7 @@
     assert least <= times.expected_s(STREAMS, tokens) <= most
 
 
-@pytest.mark.parametrize("count", [0, answer_times.FEWEST - 1])
+@pytest.mark.parametrize("count", [0, answer_times.MIN_SAMPLES - 1])
 def test_few_answers_say_nothing(count: int) -> None:
     times = times_of(count, 100, 60.0)
     assert times.expected_s(STREAMS, 100) == UNKNOWN_S
@@ -47,11 +47,11 @@
     take eight. A mean over all that were kept would promise four seconds,
     and one of two callers would lose its answer.
     """
-    times = times_of(answer_times.KEPT, 100, 2.0)
+    times = times_of(answer_times.MAX_SAMPLES, 100, 2.0)
     for _ in range(10):
         times.note(STREAMS, 100, 8.0)
     assert times.expected_s(STREAMS, 100) >= 8.0
-    for _ in range(answer_times.KEPT):
+    for _ in range(answer_times.MAX_SAMPLES):
         times.note(STREAMS, 100, 2.0)
     assert times.expected_s(STREAMS, 100) == pytest.approx(2.0)
 
@@ -62,7 +62,7 @@
     One in ten streams takes three times what its caller's estimate implies.
     """
     times = answer_times.create_answer_times()
-    for number in range(answer_times.KEPT):
+    for number in range(answer_times.MAX_SAMPLES):
         times.note(STREAMS, 100, 6.0 if number % 10 == 0 else 2.0)
     assert times.expected_s(STREAMS, 100) >= 6.0
 
--- a/tests/policy/test_crash_strikes.py
+++ b/tests/policy/test_crash_strikes.py
@@ -67,12 +67,12 @@
 
 def test_strikes_end_and_are_bounded() -> None:
     strikes = crash_strikes.CrashStrikes()
-    names = tuple(f"f{n}" for n in range(crash_strikes.STRUCK_KEPT + 10))
+    names = tuple(f"f{n}" for n in range(crash_strikes.MAX_STRUCK + 10))
     for name in names:
         strikes.strike(name, "a", 0.0)
     strikes.strike(names[-1], "b", 0.0)
     strikes.strike(names[-1], "c", 0.0)
-    assert len(strikes.strikes) == crash_strikes.STRUCK_KEPT
+    assert len(strikes.strikes) == crash_strikes.MAX_STRUCK
     assert strikes.is_refused(names[-1], 1.0)
     later = crash_strikes.STRIKE_S + 1.0
     assert not strikes.is_refused(names[-1], later)
@@ -80,7 +80,7 @@
     assert not strikes.strikes
     for name in names:
         strikes.note_answered(name, 0.0)
-    assert len(strikes.answered) == crash_strikes.ANSWERED_KEPT
+    assert len(strikes.answered) == crash_strikes.MAX_ANSWERED
 
 
 def test_strikes_from_peers_count_once() -> None:
--- a/tests/policy/test_engine_starts.py
+++ b/tests/policy/test_engine_starts.py
@@ -83,6 +83,6 @@
 
 def test_memory_of_starts_is_bounded() -> None:
     starts = engine_starts.create_engine_starts()
-    for number in range(engine_starts.STARTS_KEPT + 10):
+    for number in range(engine_starts.MAX_TRACKED_ENGINES + 10):
         starts.judge(f"i-{number}", 5, number, 0.0)
-    assert len(starts.known) == engine_starts.STARTS_KEPT
+    assert len(starts.known) == engine_starts.MAX_TRACKED_ENGINES
--- a/tests/policy/test_layer_copies.py
+++ b/tests/policy/test_layer_copies.py
@@ -73,7 +73,7 @@
     ]  # fmt: skip
     held = {e.instance: e.held for e in group}
     new = fleets._engine("new", "z", fleets.MIDDLE)
-    found = layer_copies.placed_empty(group, held, new, fleets.SPEC)
+    found = layer_copies.place_empty(group, held, new, fleets.SPEC)
     assert found is not None
     assert found.start >= 30 and found.count == 17
 
@@ -87,6 +87,6 @@
     ]  # fmt: skip
     held = {e.instance: e.held for e in group}
     new = fleets._engine("new", "z", fleets.SMALL)
-    found = layer_copies.placed_empty(group, held, new, fleets.SPEC)
+    found = layer_copies.place_empty(group, held, new, fleets.SPEC)
     assert found is not None
     assert found.end <= 34 and found.count == 10
