--- a/src/almondshift/policy/engine_sample.py
+++ b/src/almondshift/policy/engine_sample.py
@@ -42,7 +42,7 @@
 
 
 def sample_engines(groups: Sequence[Group], rng: random.Random) -> Group:
-    """Returns up to ``MOST_ALIKE`` engines of each group."""
+    """Returns up to ``MAX_PER_GROUP`` engines of each group."""
     found: Group = []
     for group in groups:
         if len(group) > MAX_PER_GROUP:
--- a/src/almondshift/policy/path_choice.py
+++ b/src/almondshift/policy/path_choice.py
@@ -85,7 +85,6 @@
     """Chooses paths.
 
     Attributes:
-        book: State of the engines as this node sees it.
         candidates: The engines that paths may use.
         tight: Addresses of engines that seem nearly full, by instance, until
             they are queried.
