--- a/tests/policy/test_answer_times.py
+++ b/tests/policy/test_answer_times.py
@@ -5,11 +5,11 @@
 from almondshift.policy import answer_times
 
 STREAMS = "streams"
-UNKNOWN_S = 4.0
-"""For 100 tokens: twice what they take in quiet times."""
+DEFAULT_S = 4.0
+"""Default for 100 tokens; twice their time under low load."""
 
 
-def times_of(
+def answer_times_of(
     count: int, tokens: float, seconds: float
 ) -> answer_times.AnswerTimes:
     times = answer_times.create_answer_times()
@@ -25,29 +25,29 @@
 def test_longer_answers_take_longer(
     tokens: float, least: float, most: float
 ) -> None:
-    times = times_of(50, 100, 2.0)
+    times = answer_times_of(50, 100, 2.0)
     assert least <= times.expected_s(STREAMS, tokens) <= most
 
 
 @pytest.mark.parametrize("count", [0, answer_times.MIN_SAMPLES - 1])
-def test_few_answers_say_nothing(count: int) -> None:
-    times = times_of(count, 100, 60.0)
-    assert times.expected_s(STREAMS, 100) == UNKNOWN_S
+def test_few_answers_give_the_default(count: int) -> None:
+    times = answer_times_of(count, 100, 60.0)
+    assert times.expected_s(STREAMS, 100) == DEFAULT_S
 
 
-def test_services_are_told_apart() -> None:
-    times = times_of(50, 100, 2.0)
-    assert times.expected_s("other", 100) == UNKNOWN_S
+def test_services_are_estimated_separately() -> None:
+    times = answer_times_of(50, 100, 2.0)
+    assert times.expected_s("other", 100) == DEFAULT_S
 
 
-def test_a_crowd_is_seen_within_the_answers_that_are_kept() -> None:
-    """A node is stopped in the middle of a crowd and takes a late caller.
+def test_overload_is_detected_within_the_kept_answers() -> None:
+    """A node is stopped during an overload and accepts a late caller.
 
-    Streams took two seconds for a long time; then engines fill, and a few
-    take eight. A mean over all that were kept would promise four seconds,
+    Streams took two seconds for a long time; then engines are full, and a few
+    streams take eight. The mean of all kept answers would give four seconds,
     and one of two callers would lose its answer.
     """
-    times = times_of(answer_times.MAX_SAMPLES, 100, 2.0)
+    times = answer_times_of(answer_times.MAX_SAMPLES, 100, 2.0)
     for _ in range(10):
         times.note(STREAMS, 100, 8.0)
     assert times.expected_s(STREAMS, 100) >= 8.0
@@ -56,7 +56,7 @@
     assert times.expected_s(STREAMS, 100) == pytest.approx(2.0)
 
 
-def test_estimates_that_are_off_by_several_times_are_allowed_for() -> None:
+def test_wrong_estimates_of_callers_are_allowed_for() -> None:
     """Callers say how long an answer will be, and are often wrong.
 
     One in ten streams takes three times what its caller's estimate implies.
@@ -70,14 +70,14 @@
 @pytest.mark.parametrize(
     ("running_s", "least", "most"), [(0.5, 0.9, 1.1), (6.0, 6.0, 6.0)]
 )
-def test_answers_that_run_long_already_tell_of_a_crowd(
+def test_long_unfinished_answers_indicate_overload(
     running_s: float, least: float, most: float
 ) -> None:
-    """Engines fill up, and no answer of the crowd has ended yet.
+    """Engines are overloaded, and no answer since then has ended.
 
-    All that ended took a second, and twenty have run for six. Young ones
-    say nothing: counted as they are, they would make answers look short.
+    All complete answers took a second, and twenty have run for six. Answers
+    that have just begun must not count, or the estimate would be too low.
     """
-    times = times_of(50, 100, 1.0)
+    times = answer_times_of(50, 100, 1.0)
     unfinished = [answer_times.UnfinishedAnswer(100, running_s)] * 20
     assert least <= times.expected_s(STREAMS, 100, unfinished) <= most
--- a/tests/policy/test_capacity_shares.py
+++ b/tests/policy/test_capacity_shares.py
@@ -1,4 +1,4 @@
-"""A few requests of many nodes add up to what each path has room for."""
+"""A few requests of each of many nodes add up to each path's capacity."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 NODES = 195
 PER_S = 244.0
-LASTS_S = 2.4
+REQUEST_S = 2.4
 
 
 @pytest.mark.parametrize(
@@ -31,9 +31,9 @@
         ([(1.0, 80.0), (9.0, 80.0)], 100.0, [80.0, 20.0]),
         ([(1.0, 80.0), (9.0, 20.0)], 200.0, [160.0, 40.0]),
     ],
-    ids=["calm", "by room", "by cost", "one is full", "more than room"],
+    ids=["low load", "by room", "by cost", "one is full", "more than room"],
 )
-def test_paths_that_get_requests_cost_the_same(
+def test_paths_in_use_cost_the_same(
     options: list[tuple[float, float]], demand: float, expected: list[float]
 ) -> None:
     given = [capacity_shares.PathOption(c, k, 0) for c, k in options]
@@ -54,7 +54,7 @@
 
 
 @hypothesis.given(OFFERS, strategies.floats(0.1, 20_000.0))
-def test_shares_add_up_and_none_is_overfilled_alone(
+def test_shares_sum_to_demand_within_capacities(
     options: list[capacity_shares.PathOption], demand: float
 ) -> None:
     shares = capacity_shares.shares(options, demand, load_weight=4.0)
@@ -65,7 +65,7 @@
 
 
 @hypothesis.given(OFFERS, strategies.integers(1, 400))
-def test_some_path_is_always_drawn(
+def test_a_path_is_always_drawn(
     options: list[capacity_shares.PathOption], nodes: int
 ) -> None:
     shares = capacity_shares.shares(options, float(nodes), load_weight=4.0)
@@ -73,12 +73,12 @@
     assert 0 <= index < len(options)
 
 
-def test_a_calm_day_of_many_nodes_fills_no_first_engine() -> None:
+def test_many_nodes_at_low_load_fill_no_first_engine() -> None:
     """Callers wait for a first event while most engines are nearly idle.
 
-    Load: 195 nodes, 244 requests a second of 2.4 s each, 15 like chains with
-    96 places. Each node has three requests at a time; were each to take the
-    chain that it has none on and that is best, 185 would meet there.
+    Load: 195 nodes, 244 requests a second of 2.4 s each, 15 equal chains with
+    96 slots. Each node has three requests at a time. If each took the best
+    chain on which it has none, one chain would get 185.
     """
     rng = random.Random(1)
     view = _view()
@@ -107,16 +107,16 @@
         first = taken.path[0].instance
         running[first] = running.get(first, 0) + 1
         most = max(most, running[first])
-        lasts_s = rng.uniform(0.5, 1.5) * LASTS_S
-        heapq.heappush(ends, (now + lasts_s, node, taken))
+        duration_s = rng.uniform(0.5, 1.5) * REQUEST_S
+        heapq.heappush(ends, (now + duration_s, node, taken))
     assert len(running) == 15
-    # A node that has many by chance may take the fleet for full.
+    # A node with many requests by chance may consider the fleet full.
     assert refused <= PER_S * 12 / 100
     assert most <= fleets.SPEC.slots
 
 
 def _view() -> path_candidates.FleetView:
-    """Returns five zones of three chains, in each of four engines."""
+    """Returns five zones, each with three chains of four engines."""
     engines = [
         registered_engines.RegisteredEngine(
             f"{zone}{chain}{i}", "s", f"{zone}{chain}{i}:1", zone, 96, False,
--- a/tests/policy/test_crash_strikes.py
+++ b/tests/policy/test_crash_strikes.py
@@ -1,4 +1,4 @@
-"""One request that crashes its endpoints, among many that don't."""
+"""A request that crashes its endpoints, among many that don't."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
     return strikes.crashed(instance, at + 4.0)
 
 
-def test_the_third_endpoint_is_the_last() -> None:
-    """A caller sends the same request again after each crash.
+def test_request_is_refused_after_three_crashes() -> None:
+    """A caller retries the same request after each crash.
 
     Each endpoint that runs it is gone some seconds later. The request is
-    refused from the third on, and its neighbours on those endpoints aren't.
+    refused after the third, and others that ran on those endpoints are not.
     """
     strikes = crash_strikes.CrashStrikes()
     for number in range(3):
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize("gone_after_s", [None, 11.0])
-def test_a_reset_of_an_endpoint_that_lives_is_no_strike(
+def test_reset_by_a_live_endpoint_is_no_strike(
     gone_after_s: float | None,
 ) -> None:
     strikes = crash_strikes.CrashStrikes()
@@ -47,11 +47,11 @@
 
 
 @pytest.mark.parametrize("answered_at", ["before", "between", "after"])
-def test_what_is_answered_well_is_not_to_blame(answered_at: str) -> None:
+def test_successful_answer_clears_a_request(answered_at: str) -> None:
     """Many callers send the same request without a body.
 
-    Three endpoints crash for reasons of their own within a minute, each with
-    one of these in flight; all others are answered.
+    Three endpoints crash for other reasons within a minute, each with one of
+    these in flight; all others are answered.
     """
     strikes = crash_strikes.CrashStrikes()
     for number in range(3):
@@ -65,7 +65,7 @@
     assert strikes.known_good(("common", "other")) == ("common",)
 
 
-def test_strikes_end_and_are_bounded() -> None:
+def test_strikes_expire_and_are_bounded() -> None:
     strikes = crash_strikes.CrashStrikes()
     names = tuple(f"f{n}" for n in range(crash_strikes.MAX_STRUCK + 10))
     for name in names:
@@ -92,11 +92,10 @@
     assert not strikes.strike("bad", "n1/e3", 3.0)
 
 
-def test_engines_that_die_together_are_one_strike() -> None:
-    """A rack dies with three engines of a stream's path.
+def test_simultaneous_losses_are_one_strike() -> None:
+    """A rack fails with three engines of a stream's path.
 
-    The stream is run once more on other engines and ends well; it is not
-    refused meanwhile, nor are its neighbours.
+    That is one strike, so that the stream can be run again on other engines.
     """
     strikes = crash_strikes.CrashStrikes()
     for instance in ("e1", "e2", "e3"):
--- a/tests/policy/test_endpoint_choice.py
+++ b/tests/policy/test_endpoint_choice.py
@@ -15,39 +15,39 @@
     ]
 
 
-def _share(slow_s: float, fails: bool) -> float:
-    """Returns the share of 300 requests that meets the bad endpoint."""
+def _bad_endpoint_share(slow_s: float, fails: bool) -> float:
+    """Returns the share of 300 requests that the bad endpoint gets."""
     chooser = endpoint_choice.EndpointChooser(random.Random(3))
-    met = 0
+    hits = 0
     for number in range(300):
         now = number * 0.2
         chosen = chooser.choose(_endpoints(), "a", now)
         assert chosen is not None
         chooser.started(chosen.instance)
         is_bad = chosen.instance == "e0"
-        met += is_bad
+        hits += is_bad
         if is_bad and fails:
             chooser.failed(chosen.instance, now)
         else:
             chooser.answered(chosen.instance, slow_s if is_bad else 0.05, now)
-    return met / 300
+    return hits / 300
 
 
-def test_a_slow_endpoint_gets_few_requests() -> None:
-    """By turns a third of all callers would wait eight times as long."""
-    assert _share(0.4, fails=False) < 0.12
+def test_slow_endpoint_gets_few_requests() -> None:
+    """With round-robin a third of callers would wait eight times as long."""
+    assert _bad_endpoint_share(0.4, fails=False) < 0.12
 
 
-def test_an_endpoint_that_fails_gets_few_requests() -> None:
-    """It calls itself healthy and fails at once, so it looks the fastest."""
-    assert _share(0.05, fails=True) < 0.12
+def test_failing_endpoint_gets_few_requests() -> None:
+    """It reports itself healthy and fails at once, so that it looks fastest."""
+    assert _bad_endpoint_share(0.05, fails=True) < 0.12
 
 
-def test_equals_share_the_work_with_a_preference_for_the_own_zone() -> None:
-    assert 0.34 < _share(0.05, fails=False) < 0.85
+def test_equal_endpoints_share_requests_with_preference_for_own_zone() -> None:
+    assert 0.34 < _bad_endpoint_share(0.05, fails=False) < 0.85
 
 
-def test_an_unreachable_endpoint_is_passed_over_for_a_while() -> None:
+def test_unreachable_endpoint_is_avoided_for_a_while() -> None:
     chooser = endpoint_choice.EndpointChooser(random.Random(3))
     for endpoint in _endpoints():
         chooser.started(endpoint.instance)
--- a/tests/policy/test_engine_starts.py
+++ b/tests/policy/test_engine_starts.py
@@ -8,8 +8,8 @@
 LATE = engine_starts.StartVerdict.LATE
 OVERTURNS = engine_starts.StartVerdict.OVERTURNS
 
-Row = tuple[int, int, float]
-"""Start, revision, time."""
+StartRow = tuple[int, int, float]
+"""Start of the engine, revision of the row, and time in seconds."""
 
 
 @pytest.mark.parametrize(
@@ -17,22 +17,22 @@
     [
         ([(5, 1, 0.0), (9, 2, 1.0)], [STANDS, STANDS]),
         ([(5, 1, 0.0), (9, 2, 1.0), (5, 3, 2.0)], [STANDS, STANDS, LATE]),
-        # Four rows over four seconds, none of the other one in between.
+        # Four rows in four seconds, with no row of the accepted start between.
         (
             [(9, 1, 0.0), *((5, r, r * 1.4) for r in range(2, 7))],
             [STANDS, LATE, LATE, LATE, OVERTURNS, STANDS],
         ),
-        # As many rows at once prove nothing: they may all be late.
+        # The same number at once is no proof: all of them may be late.
         (
             [(9, 1, 0.0), *((5, r, r * 0.1) for r in range(2, 9))],
             [STANDS, *[LATE] * 7],
         ),
-        # Nor does one row that is told for long.
+        # One row that is received again and again is no proof either.
         (
             [(9, 1, 0.0), *((5, 2, t * 1.0) for t in range(2, 20))],
             [STANDS, *[LATE] * 18],
         ),
-        # A row of the standing one ends what was proved so far.
+        # A row of the accepted start resets the challenge.
         (
             [
                 (9, 1, 0.0),
@@ -47,12 +47,12 @@
             ],
             [STANDS, LATE, LATE, LATE, STANDS, LATE, LATE, LATE, OVERTURNS],
         ),
-        # An engine that stops telling its start is one that lives, too.
+        # Rows without a start show a live engine, too.
         (
             [(9, 1, 0.0), *((0, r, r * 2.0) for r in range(2, 7))],
             [STANDS, LATE, LATE, LATE, OVERTURNS, STANDS],
         ),
-        # Two that are wrong in turn prove nothing for each other.
+        # Alternating rows of two starts are no proof of either.
         (
             [(9, 1, 0.0), *((5 + r % 2, r, r * 2.0) for r in range(2, 12))],
             [STANDS, *[LATE] * 10],
@@ -60,28 +60,28 @@
     ],
 )
 def test_verdicts(
-    rows: list[Row], expected: list[engine_starts.StartVerdict]
+    rows: list[StartRow], expected: list[engine_starts.StartVerdict]
 ) -> None:
     starts = engine_starts.create_engine_starts()
     assert [starts.judge("i", *row) for row in rows] == expected
 
 
-def test_a_start_that_was_overturned_can_prove_itself() -> None:
-    """Its engine would get no request for the rest of its life.
+def test_replaced_start_can_be_accepted_again() -> None:
+    """Its engine would never get a request again.
 
-    The start was the true one: its rows did not reach the store for a time,
-    and those of a process that it replaced did. Then its rows come again.
+    The start was the true one, but for a time only rows of the process that it
+    replaced reached the store. Then its rows arrive again.
     """
     starts = engine_starts.create_engine_starts()
     starts.judge("i", 9, 1, 0.0)
-    former = [starts.judge("i", 5, r, r * 2.0) for r in range(2, 6)]
-    assert former[-1] is OVERTURNS
-    again = [starts.judge("i", 9, r, r * 2.0) for r in range(6, 10)]
-    assert again == [LATE, LATE, LATE, OVERTURNS]
+    earlier = [starts.judge("i", 5, r, r * 2.0) for r in range(2, 6)]
+    assert earlier[-1] is OVERTURNS
+    later = [starts.judge("i", 9, r, r * 2.0) for r in range(6, 10)]
+    assert later == [LATE, LATE, LATE, OVERTURNS]
     assert starts.judge("i", 12, 10, 20.0) is STANDS
 
 
-def test_memory_of_starts_is_bounded() -> None:
+def test_number_of_tracked_engines_is_bounded() -> None:
     starts = engine_starts.create_engine_starts()
     for number in range(engine_starts.MAX_TRACKED_ENGINES + 10):
         starts.judge(f"i-{number}", 5, number, 0.0)
--- a/tests/policy/test_first_event_wait.py
+++ b/tests/policy/test_first_event_wait.py
@@ -10,8 +10,8 @@
 SERVICE = "model"
 
 
-def after(*seconds: float) -> float:
-    """Returns the wait after streams with these times to a first event."""
+def overdue_after(*seconds: float) -> float:
+    """Returns the overdue time after these times to a first event."""
     wait = first_event_wait.create_first_event_wait()
     for each in seconds:
         wait.note(SERVICE, each)
@@ -19,23 +19,23 @@
 
 
 @pytest.mark.parametrize(
-    ("seen", "least_s", "most_s"),
+    ("times_s", "least_s", "most_s"),
     [
         ((), OBJECTIVE_S, 3 * OBJECTIVE_S),
         ((0.07,) * 20, 0.3, 0.3),
         ((0.07,) * 20 + (0.3,), 0.3, 0.6),
         ((0.07,) * 20 + (0.4,) * 20, 1.1, 1.2),
     ],
-    ids=["nothing seen", "calm", "one lost answer", "burst"],
+    ids=["no stream yet", "low load", "one lost answer", "burst"],
 )
-def test_overdue_follows_what_is_usual(
-    seen: tuple[float, ...], least_s: float, most_s: float
+def test_overdue_time_follows_the_usual_time(
+    times_s: tuple[float, ...], least_s: float, most_s: float
 ) -> None:
-    assert least_s <= after(*seen) <= most_s
+    assert least_s <= overdue_after(*times_s) <= most_s
 
 
-def test_a_burst_does_not_run_all_streams_twice() -> None:
-    """A fleet that is late for load would get each request twice."""
+def test_burst_does_not_run_all_streams_twice() -> None:
+    """An overloaded fleet would get each request twice."""
     wait = first_event_wait.create_first_event_wait()
     for _ in range(20):
         wait.note(SERVICE, 0.07)
@@ -47,7 +47,7 @@
     assert repeated <= 6
 
 
-def test_services_are_learnt_apart() -> None:
+def test_services_are_tracked_separately() -> None:
     wait = first_event_wait.create_first_event_wait()
     wait.note("slow", 2.0)
     wait.note(SERVICE, 0.07)
--- a/tests/policy/test_group_size.py
+++ b/tests/policy/test_group_size.py
@@ -1,4 +1,4 @@
-"""How many nodes share the engines, before and after they have met."""
+"""How many nodes share the engines, during discovery and afterwards."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
         (48, 73, group_size.DISCOVERY_S, 49),
         (0, 73, group_size.DISCOVERY_S, 1),
     ],
-    ids=["no row read", "met nobody", "rows late", "met some", "a zone gone",
-         "alone"],
+    ids=["no row read", "no peer found", "rows late", "some peers found",
+         "a zone gone", "alone"],
 )  # fmt: skip
-def test_rows_count_until_nodes_have_met(
+def test_rows_are_counted_during_discovery(
     serving: int, written: int, age_s: float, nodes: int
 ) -> None:
     size = group_size.GroupSize(100.0)
@@ -40,12 +40,12 @@
 
 
 @pytest.mark.parametrize("callers", [2, 3])
-def test_callers_that_come_back_at_once_are_spread(callers: int) -> None:
-    """Callers of all nodes come back in the second in which nodes start.
+def test_simultaneous_retries_are_spread(callers: int) -> None:
+    """Callers of all nodes come back in the second in which the nodes start.
 
-    One chain of three is twice as fast. Nodes that took themselves for alone
-    sent all requests to it, 146 or 219, and its first engine has 96 places:
-    the rest was refused while two chains stood idle.
+    One chain of three is twice as fast. Nodes that each assumed to be alone
+    sent all 146 or 219 requests to it. Its first engine has 96 slots, and the
+    rest were refused while two chains were idle.
     """
     size = group_size.GroupSize(0.0)
     firsts: dict[str, int] = {}
--- a/tests/policy/test_layer_copies.py
+++ b/tests/policy/test_layer_copies.py
@@ -1,4 +1,4 @@
-"""Where an engine that came empty, or stands by, helps most."""
+"""Which layers an empty engine or a standby should hold."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
         ([3.0], 1, (0, 1)),
     ],
 )
-def test_the_range_of_the_greatest_sum(
+def test_best_range_has_the_greatest_sum(
     values: list[float], most: int, expected: tuple[int, int]
 ) -> None:
     found = layer_copies.best_range(values, most)
@@ -38,10 +38,10 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_what_is_left_without_an_engine_is_what_the_others_hold(
+def test_holders_without_an_engine_match_those_of_the_others(
     seed: int,
 ) -> None:
-    """A wrong answer would send away the only holder of some layer."""
+    """An error would make the only holder of a layer give it up."""
     rng = random.Random(seed)
     group = []
     for index in range(rng.randint(1, 8)):
@@ -64,8 +64,8 @@
         )
 
 
-def test_a_fast_engine_goes_where_only_slow_ones_hold_layers() -> None:
-    """Callers' streams are slowed all the time by the slowest layers."""
+def test_fast_engine_is_placed_where_only_slow_ones_hold_layers() -> None:
+    """The slowest layers delay all streams all the time."""
     group = [
         _held("fast", fleets.LARGE, 0, 30),
         *(_held(f"slow{i}", fleets.SMALL, 30 + 10 * i, 40 + 10 * i)
@@ -78,8 +78,8 @@
     assert found.start >= 30 and found.count == 17
 
 
-def test_a_slow_engine_copies_what_the_largest_loss_would_take() -> None:
-    """Callers wait longest where one engine alone holds the most layers."""
+def test_slow_engine_copies_layers_of_the_largest_sole_holder() -> None:
+    """Callers wait longest for layers of the largest sole holder."""
     group = [
         _held("large", fleets.LARGE, 0, 34),
         *(_held(f"small{i}", fleets.MIDDLE, 34 + 12 * i, min(80, 46 + 12 * i))
--- a/tests/policy/test_layer_plan.py
+++ b/tests/policy/test_layer_plan.py
@@ -27,7 +27,7 @@
 )
 LARGE, MIDDLE, SMALL = 72_000.0, 43_200.0, 21_600.0
 FACTORS = {LARGE: 2.4, MIDDLE: 5.6, SMALL: 16.0}
-"""The larger cards are the faster ones too, as published."""
+"""Step factors by memory; larger cards are faster, as published."""
 
 ZONES = {
     "a": [LARGE] + [MIDDLE] * 3 + [SMALL] * 8,
@@ -89,7 +89,7 @@
 
 
 def _token_ms(fleet: list[layer_holdings.PlannedEngine], zone: str) -> float:
-    """Returns the time of a token over a zone's fastest holders."""
+    """Returns the time of a token on a zone's fastest holders."""
     held = {e.instance: e.held for e in fleet}
     group = [e for e in fleet if e.zone == zone]
     factors = layer_copies.layer_factors(group, held, SPEC.layers)
@@ -100,14 +100,14 @@
     ("zone", "token_ms", "least_copies"), [("a", 4.6, 2), ("b", 4.9, 2),
                                            ("c", 4.1, 1)]
 )  # fmt: skip
-def test_fast_cards_carry_and_slower_ones_hold_second_copies(
+def test_fast_cards_serve_and_slower_ones_hold_second_copies(
     zone: str, token_ms: float, least_copies: int
 ) -> None:
-    """A stream that takes half as long is struck by half as many faults.
+    """A stream that takes half as long is hit by half as many faults.
 
-    In each zone the carrying chain leaves a quarter of its memory for
-    requests, and where cards are left for it each layer is held twice. With
-    one chain over all cards a token takes 9.9 ms in the first zone.
+    In each zone the serving chain leaves a quarter of its memory for requests,
+    and if there are enough other cards each layer is held twice. With one
+    chain over all cards a token takes 9.9 ms in the first zone.
     """
     fleet = _fleet()
     planned = _after(fleet, layer_plan.plan_orders(fleet, SPEC))
@@ -122,13 +122,13 @@
 
 
 @pytest.mark.parametrize("zone", LARGE_ZONES)
-def test_streams_of_a_large_fleet_run_on_its_fast_cards(zone: str) -> None:
-    """Callers of long answers wait, then are refused, long after a fault.
+def test_streams_of_a_large_fleet_use_its_fast_cards(zone: str) -> None:
+    """Callers of long answers wait and are refused long after a fault.
 
-    Engines of three chains die. Chains spread evenly over all cards run most
-    layers on the slowest; the streams of the lost ones fill the others, all
-    take longer and hold memory for longer, so that new ones are refused for
-    want of it and come back. The longest answers are struck first.
+    Engines of three chains die. If chains are spread evenly over all cards,
+    most layers run on the slowest ones. The moved streams fill the other
+    chains, all streams take longer and hold memory for longer, and new ones are
+    refused and retried. The longest answers are affected first.
     """
     fleet = _fleet(LARGE_ZONES)
     planned = _after(fleet, layer_plan.plan_orders(fleet, SPEC))
@@ -138,18 +138,18 @@
     assert min(_copies(planned, zone)) >= 2
 
 
-def test_a_settled_fleet_gets_no_orders() -> None:
+def test_planned_fleet_gets_no_further_orders() -> None:
     fleet = _fleet()
     planned = _after(fleet, layer_plan.plan_orders(fleet, SPEC))
     assert layer_plan.plan_orders(planned, SPEC) == []
 
 
 @pytest.mark.parametrize("lost", [f"a{index}" for index in range(12)])
-def test_a_lost_engine_is_replaced_without_any_load(lost: str) -> None:
-    """Callers' streams would wait for layers to load, a sixth of a second each.
+def test_lost_engine_is_replaced_without_loading_layers(lost: str) -> None:
+    """Streams would wait for layers to load, a sixth of a second for each.
 
-    An engine dies where all layers have a second copy; all of them are still
-    held by the others, and the plan asks for nothing.
+    An engine dies in a zone that holds all layers twice. The others still hold
+    all of them, and the plan gives no orders.
     """
     fleet = _fleet()
     planned = _after(fleet, layer_plan.plan_orders(fleet, SPEC))
@@ -159,21 +159,20 @@
 
 
 @pytest.mark.parametrize("lost", range(9))
-def test_standbys_take_over_what_nobody_else_held(lost: int) -> None:
-    """Callers of one zone get no tokens while layers are missing there.
+def test_standbys_fill_a_hole(lost: int) -> None:
+    """Callers of a zone get no tokens while layers are missing there.
 
-    In a zone without cards for all second copies an engine dies; the plan is
-    asked with the others. Standbys load the missing layers, each a part, since
-    a load takes as long as its share. Those that carry streams keep their
-    memory for these.
+    An engine dies in a zone whose cards don't suffice for all second copies.
+    Each standby loads a part of the missing layers, since the time of a load
+    grows with its layers. Engines that serve streams keep their memory.
     """
     fleet = _fleet()
     planned = _after(fleet, layer_plan.plan_orders(fleet, SPEC))
     rest = [e for e in planned if e.instance != f"c{lost}"]
     orders = layer_plan.plan_orders(rest, SPEC)
-    mended = _after(rest, orders)
-    assert _fits(mended)
-    assert min(_copies(mended, "c")) >= 1
+    repaired = _after(rest, orders)
+    assert _fits(repaired)
+    assert min(_copies(repaired, "c")) >= 1
     assert len(orders) <= 3
     assert all(order.layers.count <= 5 for order in orders)
     assert {order.instance for order in orders} <= {
@@ -181,11 +180,11 @@
     }
 
 
-def test_standbys_of_each_other_do_not_both_leave() -> None:
-    """Callers would wait for layers that the mending of others took away.
+def test_mutual_standbys_do_not_both_give_up_their_layers() -> None:
+    """Filling one hole would open another, for which callers wait.
 
-    Two cards hold the same layers and a third holds others; a hole opens that
-    one of the two alone could fill in part.
+    Two cards hold the same layers and a third holds others; one of the two
+    alone could fill a part of the hole.
     """
     held = model_layers.LayerRange
     ranges = [(LARGE, 0, 34), (LARGE, 0, 34), (LARGE, 34, 60)]
@@ -201,13 +200,13 @@
 
 
 @pytest.mark.parametrize("index", range(12))
-def test_an_engine_that_comes_back_restores_the_carrying_chain(
+def test_returning_engine_restores_the_serving_chain(
     index: int,
 ) -> None:
-    """Streams would stay on second copies three times as slow.
+    """Streams would stay on second copies that are three times as slow.
 
-    An engine dies and comes back empty; it gets what it held before, since
-    that is where it saves most, or is missing most as a second copy.
+    An engine dies and comes back empty. It gets its former layers, since it
+    saves most time there, or is most needed there as a second copy.
     """
     fleet = _fleet()
     planned = _after(fleet, layer_plan.plan_orders(fleet, SPEC))
@@ -216,17 +215,16 @@
     rest = [e for e in planned if e is not lost]
     rest = _after(rest, layer_plan.plan_orders(rest, SPEC))
     rest.append(dataclasses.replace(lost, instance="new", held=None))
-    mended = _after(rest, layer_plan.plan_orders(rest, SPEC))
-    assert _token_ms(mended, "a") <= before + 1e-9
-    assert min(_copies(mended, "a")) == 2
+    repaired = _after(rest, layer_plan.plan_orders(rest, SPEC))
+    assert _token_ms(repaired, "a") <= before + 1e-9
+    assert min(_copies(repaired, "a")) == 2
 
 
-def test_a_standby_takes_the_place_of_a_fast_engine_that_is_gone() -> None:
-    """Streams would run on a slow second copy for good.
+def test_standby_replaces_a_lost_fast_engine() -> None:
+    """Streams would use a slow second copy permanently.
 
-    A fast card is gone for good; the layers that it held are on slow
-    cards. A faster card that stands by elsewhere takes them over, and gives
-    up nothing that only it holds.
+    A fast card is lost permanently, and only slow cards hold its layers. A
+    faster standby takes them over, and gives up nothing that only it holds.
     """
     held = model_layers.LayerRange
     ranges = [(0, 17), (17, 34), (63, 80), (0, 17)]
@@ -256,7 +254,7 @@
         {"a": []},
     ],
 )
-def test_odd_fleets_bring_no_fault(zones: dict[str, list[float]]) -> None:
+def test_unusual_fleets_raise_no_error(zones: dict[str, list[float]]) -> None:
     fleet = _fleet(zones)
     for _ in range(3):
         fleet = _after(fleet, layer_plan.plan_orders(fleet, SPEC))
@@ -264,12 +262,12 @@
 
 
 @pytest.mark.parametrize("lost", range(4))
-def test_a_hole_with_a_full_neighbour_is_filled_in_steps(lost: int) -> None:
-    """All callers wait while a layer is held nowhere.
+def test_hole_next_to_a_full_engine_is_filled_in_steps(lost: int) -> None:
+    """All callers wait while no engine holds some layer.
 
-    Four engines hold a chain; one dies and its only neighbour, at the end of
-    the chain, can't take all. The next engine takes over layers of that
-    neighbour, which then has room: no layer is given up before.
+    Four engines form a chain; one dies and its only neighbour, at the end of
+    the chain, can't take all its layers. The next engine first takes layers of
+    that neighbour, which then has room. No layer is given up before that.
     """
     fleet = _fleet({"a": [LARGE] * 4})
     fleet = _after(fleet, layer_plan.plan_orders(fleet, SPEC))
@@ -285,11 +283,11 @@
     assert layer_plan.plan_orders(fleet, SPEC) == []
 
 
-def test_a_hole_that_nobody_can_take_brings_no_fault() -> None:
-    """Callers of all zones would lose placing for good by one exception.
+def test_hole_that_no_engine_can_fill_raises_no_error() -> None:
+    """One exception would stop the layer plan of all zones.
 
-    The neighbours of a hole are busy with former orders and no engine is
-    empty. The plan leaves the hole and goes on with the other zones.
+    The neighbours of a hole are busy with earlier orders and no engine is
+    empty. The plan leaves the hole and continues with the other zones.
     """
     held = model_layers.LayerRange
     fleet = [
@@ -323,7 +321,7 @@
 
 
 class Fleet:
-    """Engines that die, come back empty and load at once."""
+    """Engines that die, return empty and load layers instantly."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
@@ -341,26 +339,26 @@
         self.engines.append(_engine(f"new{self.serial}", zone, memory))
 
     def settle(self) -> int:
-        """Carries out plans until there are no orders; returns how many."""
-        for rounds in range(30):
+        """Carries out plans until there are no orders; returns their number."""
+        for plans in range(30):
             orders = layer_plan.plan_orders(self.engines, SPEC)
             if not orders:
-                return rounds
+                return plans
             self.engines = _after(self.engines, orders)
             assert _fits(self.engines)
         raise AssertionError("the plan does not settle")
 
 
 @pytest.mark.parametrize("seed", range(25))
-def test_losses_and_returns_in_any_order_leave_whole_even_chains(
+def test_random_losses_and_returns_leave_complete_chains(
     seed: int,
 ) -> None:
-    """Callers of a zone wait or are refused though its cards would do.
+    """Callers of a zone wait or are refused although its cards suffice.
 
-    Engines die and come empty, one after another, in all zones. What each
-    loss mends by itself may leave a hole with no neighbour to fill it, or
-    one card full of layers that lets few requests in; the plan has to come
-    back from there, in few steps and to an end.
+    Engines die and return empty, one after another, in all zones. Repairs after
+    each loss may leave a hole that no neighbour can fill, or one card full of
+    layers that admits few requests. The plan must recover from that in a few
+    steps, and then give no more orders.
     """
     fleet = Fleet(random.Random(seed))
     fleet.settle()
@@ -378,10 +376,10 @@
             assert min(_copies(group, zone)) >= 1
 
 
-def test_an_uneven_chain_is_spread_anew_without_giving_layers_up() -> None:
-    """One small card full of layers lets in few requests for its whole zone.
+def test_unbalanced_chain_is_rebalanced_without_losing_layers() -> None:
+    """One small card full of layers limits the requests of its whole zone.
 
-    The others take layers of it first, and it gives them up only then.
+    It gives up layers only after others have loaded them.
     """
     held = model_layers.LayerRange
     engines = [
@@ -409,12 +407,12 @@
         ("a", ["a0", "a1", "a2"], True),
     ],
 )
-def test_layers_of_slow_engines_are_taken_over_unless_they_are_many(
+def test_layers_of_slow_engines_are_replaced_unless_too_many(
     zone: str, slow: list[str], is_taken_over: bool
 ) -> None:
-    """A stage that is twelve times slower stops its whole zone.
+    """A stage that is twelve times slower stalls its whole zone.
 
-    Others hold its layers, or load them; not if the slow ones are so many
+    Others hold its layers or load them, unless there are so many slow engines
     that the others could not hold all layers and still serve.
     """
     fleet = _fleet()
@@ -423,9 +421,9 @@
         for e in _after(fleet, layer_plan.plan_orders(fleet, SPEC))
     ]
     orders = layer_plan.plan_orders(planned, SPEC)
-    mended = _after(planned, orders)
-    quick = [e for e in mended if e.instance not in slow]
-    assert (min(_copies(quick, zone)) >= 1) is is_taken_over
+    repaired = _after(planned, orders)
+    fast = [e for e in repaired if e.instance not in slow]
+    assert (min(_copies(fast, zone)) >= 1) is is_taken_over
 
 
 def _unanswered(
@@ -441,12 +439,12 @@
     ("certain", "missing"),
     [(None, range(27, 54)), ((27, 40), range(40, 54)), ((27, 54), range(0))],
 )
-def test_layers_that_an_engine_may_not_hold_are_placed_elsewhere(
+def test_layers_an_engine_may_not_hold_are_assigned_to_others(
     certain: tuple[int, int] | None, missing: range
 ) -> None:
     """A zone would refuse its callers until the engine answers its order.
 
-    What it holds whether it took the order or not is not loaded again.
+    Layers that it holds in either case are not loaded again.
     """
     held = [(0, 27), (27, 54), (54, 80), (0, 27), (54, 80)]
     chain = [
@@ -468,11 +466,11 @@
     assert bool(orders) is bool(missing)
 
 
-def test_an_order_under_way_lets_no_other_engine_be_moved() -> None:
-    """A lost answer would make a chain load anew what it holds already.
+def test_order_in_progress_prevents_rebalancing() -> None:
+    """A lost answer would make a chain reload layers that it holds.
 
-    Nobody can take the hole that the order is to mend. A chain that lacks
-    layers is spread anew, but not while its order may be under way.
+    No other engine can fill the hole that the order is for. A chain that lacks
+    layers is rebalanced, but not while its order may be in progress.
     """
     held = [(0, 20), (20, 26), (26, 60), (60, 80)]
     chain = [
--- a/tests/policy/test_path_choice.py
+++ b/tests/policy/test_path_choice.py
@@ -41,26 +41,26 @@
     return chooser
 
 
-def _tell(chooser: path_choice.PathChooser, now: float) -> None:
-    """Lets the engines that the chooser wants to ask say what is in use."""
+def _report_memory(chooser: path_choice.PathChooser, now: float) -> None:
+    """Reports memory of the engines that the chooser wants to query."""
     for instance in chooser.tight:
         used = chooser.book.state(instance).layer_tokens * chooser.nodes
-        said = used / engine_book.MEMORY_GROWTH
-        chooser.book.note_used(instance, said, now)
+        reported = used / engine_book.MEMORY_GROWTH
+        chooser.book.note_used(instance, reported, now)
     chooser.tight.clear()
 
 
-@pytest.mark.parametrize(("answers", "times"), [(True, 1.0), (False, 2.0)])
-def test_a_burst_is_spread_over_zones_and_stops_at_the_memory(
-    answers: bool, times: float
+@pytest.mark.parametrize(("is_answering", "times"), [(True, 1.0), (False, 2.0)])
+def test_burst_spreads_over_zones_until_memory_is_full(
+    is_answering: bool, times: float
 ) -> None:
-    """A burst of 1,000 requests at once at each of seven nodes.
+    """A burst of 1,000 simultaneous requests at each of seven nodes.
 
-    Engines hold 37 GB beside weights: 80,000 tokens over their layers, or 82
-    requests. Without the bound all are let in, engines preempt and read
-    again, and all streams falter. Engines that seem over half full are asked,
-    and each node lets in its share and refuses the rest in the same moment.
-    If they don't answer its own count, taken seven times, stops it at twice.
+    Engines have 37 GB beside weights: 80,000 tokens over their layers, or 82
+    requests. Without a limit all are admitted, engines preempt requests and
+    prefill them again, and all streams stall. Engines that seem over half full
+    are queried, and each node admits its share and refuses the rest at once. If
+    they don't answer, seven times its own count stops it at twice the capacity.
     """
     chooser = _chooser()
     view = _view()
@@ -71,18 +71,18 @@
             break
         chooser.book.add(chosen.used, TOKENS)
         zones[chosen.zone] = zones.get(chosen.zone, 0) + 1
-        if answers:
-            _tell(chooser, 0.0)
+        if is_answering:
+            _report_memory(chooser, 0.0)
     room = SPEC.layer_token_room("k", 20) / 20 / TOKENS
     total = sum(zones.values())
-    # Each node may let in one request more than its exact share.
+    # Each node may admit one request more than its exact share.
     assert total * 7 <= 3 * (times * room + 7)
     assert total * 7 >= 0.7 * 3 * room
     assert max(zones.values()) - min(zones.values()) <= 2
 
 
 @pytest.mark.parametrize("fault", ["suspect", "leaving"])
-def test_engines_in_trouble_get_no_new_requests(fault: str) -> None:
+def test_suspect_and_leaving_engines_get_no_new_requests(fault: str) -> None:
     chooser = _chooser()
     view = _view(leaving="a1" if fault == "leaving" else "")
     if fault == "suspect":
@@ -94,10 +94,10 @@
         chooser.book.add(chosen.used, TOKENS)
 
 
-def test_a_slow_engine_gets_less() -> None:
-    """An engine that says it is twelve times slower holds all behind it up.
+def test_requests_avoid_the_zone_of_a_slow_engine() -> None:
+    """An engine that is twelve times slower delays all later engines of a path.
 
-    Its zone then costs more than the others, and new requests go there.
+    Its zone then costs more than the others, and new requests go to those.
     """
     chooser = _chooser()
     chooser.book.note_pace("a1", 12.0, 0.0)
@@ -105,7 +105,7 @@
     assert all(c is not None and c.zone != "a" for c in zones)
 
 
-def test_a_moved_request_leaves_the_lost_engine_only() -> None:
+def test_moved_request_replaces_only_the_lost_engine() -> None:
     chooser = _chooser()
     view = _view()
     path = path_choice._to_chosen_path(
@@ -123,7 +123,7 @@
     assert all(part.instance != "a2" for part in moved.path)
 
 
-def test_counts_return_to_nothing() -> None:
+def test_removed_request_leaves_no_load() -> None:
     chooser = _chooser()
     chosen = chooser.choose(_view(), TOKENS, 0.0)
     assert chosen is not None
@@ -134,11 +134,11 @@
         assert state.layer_tokens == 0
 
 
-def test_slow_engines_serve_only_where_nothing_else_holds_the_layers() -> None:
-    """Four engines turn twelve times slower, one in each place of a chain.
+def test_slow_engines_serve_only_layers_that_no_other_holds() -> None:
+    """Engines become twelve times slower, and streams through them stall.
 
-    Streams through them stand for seconds. Paths pass them over while each
-    layer is held elsewhere too; when it is not, slow is better than refused.
+    Paths avoid them while each layer is also held elsewhere. When it is not, a
+    slow path is better than a refusal.
     """
     chooser = _chooser()
     for name in ("a0", "b1", "c2"):
@@ -153,7 +153,7 @@
     assert chooser.choose(_view(), TOKENS, 0.0) is not None
 
 
-def test_engines_that_broke_a_request_off_are_not_its_first_again() -> None:
+def test_avoided_engines_are_not_first() -> None:
     chooser = _chooser()
     for _ in range(20):
         chosen = chooser.choose(_view(), TOKENS, 0.0, frozenset({"a0", "b0"}))
@@ -162,11 +162,11 @@
     assert none is None
 
 
-def test_a_report_corrects_what_a_node_makes_of_its_own_few_requests() -> None:
-    """Callers are refused by one node while engines have room.
+def test_report_corrects_the_estimate_from_own_requests() -> None:
+    """A node refuses callers although engines have room.
 
-    By chance a node has more than its share of the requests; taken for all
-    nodes, engines look full. Their reports say that half is in use.
+    By chance it has more than its share of the requests. Extrapolated to all
+    nodes, engines look full, while they report that half is in use.
     """
     chooser = _chooser()
     view = _view()
@@ -178,20 +178,20 @@
     for engine in view.engines:
         room = SPEC.layer_token_room("k", 20)
         chooser.book.note_used(engine.instance, room * 0.4, 1.0)
-    let_in = 0
+    admitted = 0
     while (chosen := chooser.choose(view, TOKENS, 1.1)) is not None:
         chooser.book.add(chosen.used, TOKENS)
-        let_in += 1
-    # The first engine of each zone takes two more beside eleven.
-    assert let_in == 6
+        admitted += 1
+    # The first engine of each zone takes two more in addition to eleven.
+    assert admitted == 6
     assert chooser.choose(view, TOKENS, 9.0) is None
 
 
-def test_many_nodes_spread_over_like_chains() -> None:
-    """With 73 nodes most have no request on any engine when one comes.
+def test_many_nodes_spread_over_equal_chains() -> None:
+    """With 73 nodes most have no request on any engine when one arrives.
 
-    A zone holds three like chains. If all nodes took the one that is
-    slightly cheaper, its callers would wait while two chains stand idle.
+    A zone has three equal chains. If all nodes took the slightly cheaper one,
+    its callers would wait while two chains are idle.
     """
     engines = [
         registered_engines.RegisteredEngine(
@@ -216,11 +216,11 @@
     assert max(counts.values()) < 2 * min(counts.values())
 
 
-def test_a_chain_that_callers_leave_is_passed_over_for_a_while() -> None:
-    """A third of a chain's callers leave it without a first event, all day.
+def test_chain_without_first_events_is_avoided_for_a_while() -> None:
+    """A third of a chain's callers leave without a first event.
 
-    Its first engine answers questions and is not slow, so that nothing showed
-    in what the node believes. A caller who left counts against it for some
+    Its first engine answers queries and is not slow, so that the node detected
+    nothing. A caller that leaves makes the node avoid the engine for some
     seconds, as long as another chain can take the requests.
     """
     chooser = _chooser()
@@ -241,8 +241,8 @@
     assert firsts == {"a0", "b0", "c0"}
 
 
-def test_chains_that_callers_leave_serve_on_where_there_is_no_other() -> None:
-    """A crowd: callers leave all chains, and each is better than none."""
+def test_chains_without_first_events_serve_if_there_is_no_other() -> None:
+    """Under overload callers leave all chains, and each is better than none."""
     chooser = _chooser()
     for zone in "abc":
         chooser.book.note_unheard(f"{zone}0", 0.0)
--- a/tests/policy/test_path_refresh.py
+++ b/tests/policy/test_path_refresh.py
@@ -1,4 +1,4 @@
-"""How often a node searches paths anew, by the size of the fleet."""
+"""How often a node repeats the path search, by the size of the fleet."""
 
 from __future__ import annotations
 
@@ -29,23 +29,23 @@
 
 @pytest.fixture
 def searches(monkeypatch: pytest.MonkeyPatch) -> list[int]:
-    """Keeps the number of candidates of each search."""
-    kept: list[int] = []
+    """Records the number of candidates of each search."""
+    recorded: list[int] = []
     search = zone_paths.find_paths
 
     def counted(candidates: list[object], *more: object) -> object:
-        kept.append(len(candidates))
+        recorded.append(len(candidates))
         return search(candidates, *more)  # type: ignore[arg-type]
 
     monkeypatch.setattr(zone_paths, "find_paths", counted)
-    return kept
+    return recorded
 
 
 @pytest.mark.parametrize("copies", [1, 100])
-def test_arrivals_search_a_large_fleet_less_often(
+def test_large_fleet_is_searched_less_often(
     copies: int, searches: list[int]
 ) -> None:
-    """Nodes before thousands of engines would do nothing else."""
+    """With thousands of engines, nodes would do little else than search."""
     chooser = small._chooser()
     view = fleet(copies)
     for arrival in range(ARRIVALS_PER_S * SECONDS):
@@ -55,10 +55,10 @@
     assert 1 < len(searches) <= most
 
 
-def test_a_lost_engine_of_a_large_fleet_gets_no_request(
+def test_lost_engine_of_a_large_fleet_gets_no_request(
     searches: list[int],
 ) -> None:
-    """Kept paths would lead to a dead engine for seconds."""
+    """Cached paths would lead to a dead engine for seconds."""
     chooser = small._chooser()
     view = fleet(100)
     chosen = chooser.choose(view, small.TOKENS, 0.0)
--- a/tests/policy/test_path_search.py
+++ b/tests/policy/test_path_search.py
@@ -32,7 +32,7 @@
 
 
 def _cost(parts: list[path_search.Candidate]) -> float:
-    """Returns the cost of whole ranges one after the other."""
+    """Returns the cost of a path of whole ranges."""
     cost = 0.0
     zone = ""
     for part in parts:
@@ -56,7 +56,7 @@
 
 
 @hypothesis.given(ENGINES)
-def test_paths_run_each_layer_once_and_beat_all_whole_ranges(
+def test_paths_run_each_layer_once_and_cost_no_more_than_whole_ranges(
     drawn: list[tuple[str, int, int, float]],
 ) -> None:
     engines = [
@@ -82,10 +82,10 @@
         assert found.cost_ms <= _cost(chain) + 1e-9
 
 
-def test_a_dead_engines_layers_are_taken_from_two_others() -> None:
-    """Callers get answers though no engine holds just the missing range.
+def test_layers_of_a_dead_engine_are_covered_by_two_others() -> None:
+    """Callers get answers although no engine holds exactly the missing range.
 
-    Zone a lost layers 4 to 8; zone b holds them in two parts of other cuts.
+    Zone a lost layers 4 to 8; zone b holds them in two parts, split elsewhere.
     """
     engines = [
         _engine("a0", "a", 0, 4, 0.1),
@@ -98,7 +98,7 @@
     assert found.parts[0].candidate.instance == "a0"
 
 
-def test_a_moved_path_keeps_its_first_part() -> None:
+def test_moved_path_keeps_its_first_part() -> None:
     engines = [
         _engine("a0", "a", 0, 4, 0.1),
         _engine("b0", "b", 0, 8, 0.1),
@@ -113,13 +113,13 @@
 @pytest.mark.parametrize(
     ("room", "is_found"), [(1200.0, False), (1264.0, True)]
 )
-def test_memory_of_a_request_must_fit(room: float, is_found: bool) -> None:
+def test_request_must_fit_into_memory(room: float, is_found: bool) -> None:
     engine = _engine("a", "a", 0, 12, 0.1, room)
     found = path_search.find_path([engine], LAYERS, 100.0)
     assert (found is not None) is is_found
 
 
-def test_longer_paths_than_engines_take_are_not_given() -> None:
+def test_paths_longer_than_engines_accept_are_not_found() -> None:
     layers = path_search.MAX_PARTS + 1
     engines = [_engine(f"e{i}", "a", i, i + 1, 0.1) for i in range(layers)]
     assert path_search.find_path(engines, layers, 1.0) is None
--- a/tests/policy/test_pooled_load.py
+++ b/tests/policy/test_pooled_load.py
@@ -1,4 +1,4 @@
-"""Few requests at each of many nodes, and what they say of the fleet."""
+"""Estimates of the fleet's load from a few requests of each of many nodes."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 NODES = 76
 
 
-def test_shares_follow_the_copies_of_each_layer() -> None:
+def test_shares_depend_on_the_copies_of_each_layer() -> None:
     holdings = [
         pooled_load.Holding("a", 0, 4),
         pooled_load.Holding("b", 0, 8),
@@ -26,8 +26,8 @@
     assert shares["c"] == pooled_load.EngineShare(0.5, 0.0)
 
 
-def test_fast_engines_get_more_of_the_requests() -> None:
-    """Engines that carry most would seem empty, and be filled beyond memory.
+def test_fast_engines_get_a_larger_share() -> None:
+    """Engines that serve most requests would seem empty and be overfilled.
 
     Load: five copies of the layers, two on cards that are seven times as fast.
     """
@@ -43,15 +43,17 @@
     assert sum(s.running for s in shares.values()) == pytest.approx(1.0)
 
 
-@pytest.mark.parametrize(("nodes", "gap"), [(1, 1.0), (16, 1.0), (80, 5.0)])
-def test_questions_do_not_grow_with_the_group(nodes: int, gap: float) -> None:
-    assert pooled_load.question_gap(nodes) == gap
+@pytest.mark.parametrize(("nodes", "factor"), [(1, 1.0), (16, 1.0), (80, 5.0)])
+def test_query_rate_does_not_grow_with_the_group(
+    nodes: int, factor: float
+) -> None:
+    assert pooled_load.question_gap(nodes) == factor
 
 
 @pytest.mark.parametrize(
     ("nodes", "found"), [(7, 21.0), (16, 48.0), (76, 3.0 + 6 * 0.5 * 75)]
 )
-def test_few_nodes_count_engine_by_engine(nodes: int, found: float) -> None:
+def test_small_groups_count_engine_by_engine(nodes: int, found: float) -> None:
     assert pooled_load.fleet_total(3.0, 6.0, 0.5, nodes) == found
 
 
@@ -60,12 +62,12 @@
     [(8, 3, 24.0), (73, 0, 1.0 + 72 * 0.5), (73, 2, 2.0 + 72 * 1.5)],
     ids=["few nodes", "nothing sent", "two sent"],
 )
-def test_what_all_nodes_send_next_is_foreseen(
+def test_next_requests_of_all_nodes_are_counted(
     nodes: int, sent: int, soon: float
 ) -> None:
-    """All nodes choose at the same moment, and none sees the others' choice.
+    """All nodes choose at the same moment, and none sees the others' choices.
 
-    Load: two like engines; of a node's requests, half went to the first.
+    Load: two equal engines; half of a node's requests went to the first.
     """
     book = engine_book.EngineBook()
     for number in range(sent):
@@ -78,12 +80,12 @@
     assert load.first_after_next("a") == soon
 
 
-def test_a_few_requests_of_many_nodes_fill_no_engine() -> None:
+def test_few_requests_of_many_nodes_are_not_refused() -> None:
     """Load: 76 nodes with 3 requests each, on three chains of four engines.
 
-    An engine has room for 82 requests and 96 places as the first; 228
-    requests are 76 on each. Engine by engine a node with its three on one
-    chain would count 228 there, and refuse what all nodes have room for.
+    An engine has room for 82 requests, and 96 slots as the first engine; 228
+    requests are 76 on each chain. Counted engine by engine, a node with three
+    on one chain would assume 228 there, and refuse requests that fit.
     """
     refused = 0
     for seed in range(40):
@@ -100,13 +102,13 @@
     assert refused == 0
 
 
-def test_many_nodes_still_stop_at_the_memory() -> None:
+def test_many_nodes_admit_up_to_the_memory() -> None:
     """Load: requests keep coming to 76 nodes until all are refused.
 
-    Each node lets in what the fleet has room for, by its own total: engines
-    are not filled far beyond their memory, nor left half empty.
+    Each node admits requests until its own total, extrapolated to all nodes,
+    fills the fleet. Engines are neither overfilled by far nor left half empty.
     """
-    let_in = 0
+    admitted = 0
     for seed in range(NODES):
         chooser = path_choice.create_path_chooser(
             engine_book.EngineBook(), random.Random(seed)
@@ -116,6 +118,6 @@
             chosen = chooser.choose(fleets._view(), fleets.TOKENS, 0.3 * number)
             if chosen is not None:
                 chooser.book.add(chosen.used, fleets.TOKENS)
-                let_in += 1
+                admitted += 1
     room = 3 * fleets.SPEC.layer_token_room("k", 20) / 20 / fleets.TOKENS
-    assert 0.7 * room <= let_in <= 1.35 * room
+    assert 0.7 * room <= admitted <= 1.35 * room
--- a/tests/policy/test_probe_timing.py
+++ b/tests/policy/test_probe_timing.py
@@ -1,4 +1,4 @@
-"""Engines that go dark while a crowd keeps others busy."""
+"""Engines that stop responding while high load keeps others busy."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from almondshift.relay import stream_moves
 
 LATE_S = 0.25
-"""A longer pause makes a stream late for its caller."""
+"""Pause above which a stream is late for its caller, in seconds."""
 
 
 @pytest.mark.parametrize(
     ("usual_s", "events"), [(0.02, 2), (0.03, 20), (0.06, 60)]
 )
-def test_a_dead_engine_is_found_before_its_streams_are_late(
+def test_dead_engine_is_detected_before_streams_are_late(
     usual_s: float, events: int
 ) -> None:
-    """Callers of dark engines are late though other engines could go on."""
+    """Streams of a dead engine are late although others could take over."""
     silent_s = probe_timing.patience_s(events, usual_s * (events - 1))
     found_s = silent_s + stream_moves.LOOK_S
     found_s += path_probe.SECOND_QUERY_S + path_probe.ANSWER_S
@@ -35,19 +35,19 @@
         (11, 1.0, 0.2),
     ],
 )
-def test_a_stream_is_silent_by_its_own_usual_pauses(
+def test_silence_limit_follows_the_interval_of_events(
     events: int, lasted_s: float, patience_s: float
 ) -> None:
-    """Streams over slow accelerators would be probed all the time."""
+    """With a fixed limit, streams on slow accelerators are always probed."""
     found_s = probe_timing.patience_s(events, lasted_s)
     assert found_s == pytest.approx(patience_s)
 
 
 @pytest.mark.parametrize("nodes", [7, 75, 300])
-def test_a_busy_engine_is_probed_little_by_all_nodes_together(
+def test_probe_rate_of_all_nodes_is_bounded(
     nodes: int,
 ) -> None:
-    """Probes of silent streams would take a busy engine's time for good."""
+    """Probes of silent streams would permanently load a busy engine."""
     backoff = probe_timing.ProbeBackoff()
     factor = pooled_load.question_gap(nodes)
     probes = 0
@@ -64,17 +64,17 @@
     [
         ([0.0, 0.1], 1),
         ([0.0, 0.16], 2),
-        # The pause doubles while probes follow each other.
+        # The interval doubles while probes follow each other.
         ([0.0, 0.16, 0.32], 2),
         ([0.0, 0.16, 0.47], 3),
-        # It is short again after a quiet time.
+        # It is reset after a time without probes.
         ([0.0, 0.16, 5.0, 5.16], 4),
     ],
 )
-def test_an_engine_that_answers_is_probed_less_and_less(
+def test_probe_interval_doubles_while_an_engine_answers(
     looks: list[float], probes: int
 ) -> None:
-    """Probes of a crowd of silent streams would add to a busy engine's load."""
+    """Probes of many silent streams would add to a busy engine's load."""
     backoff = probe_timing.ProbeBackoff()
     done = 0
     for now in looks:
--- a/tests/policy/test_repeat_budget.py
+++ b/tests/policy/test_repeat_budget.py
@@ -8,11 +8,11 @@
 
 
 @pytest.mark.parametrize("nodes", [1, 7, 9, 70])
-def test_repeats_of_all_nodes_keep_the_bound(nodes: int) -> None:
-    """All endpoints fail at once and each request asks to be sent again.
+def test_repeats_of_all_nodes_stay_within_the_limit(nodes: int) -> None:
+    """All endpoints fail at once and each request is to be sent again.
 
-    Each node counts alone. Whatever the others do, the sum over all nodes in
-    any window stays below the operators' bound.
+    Nodes count independently, and the sum over all nodes in any window stays
+    within the operators' limit.
     """
     budgets = [repeat_budget.RepeatBudget(LIMITS, -20.0) for _ in range(nodes)]
     for budget in budgets:
@@ -31,7 +31,7 @@
         assert within > 0
 
 
-def test_services_have_budgets_of_their_own() -> None:
+def test_services_have_separate_budgets() -> None:
     budget = repeat_budget.RepeatBudget(
         repeat_budget.RepeatLimits(0.0, 10.0, 2.0), -10.0
     )
@@ -43,24 +43,27 @@
 
 
 @pytest.mark.parametrize("nodes", [7, 76])
-def test_nodes_that_all_start_again_keep_the_bound(nodes: int) -> None:
+def test_repeats_stay_within_the_limit_when_all_nodes_restart(
+    nodes: int,
+) -> None:
     """All nodes lose power while repeats are at their limit.
 
-    They start at once and know nothing of their former lives, nor of each
-    other for a second. Repeats of both lives together keep the bound.
+    They restart at once without their earlier counts, and don't know of each
+    other for a second. Repeats before and after the restart together stay
+    within the limit.
     """
 
-    def started(now: float) -> list[repeat_budget.RepeatBudget]:
+    def create_budgets(now: float) -> list[repeat_budget.RepeatBudget]:
         return [repeat_budget.RepeatBudget(LIMITS, now) for _ in range(nodes)]
 
-    budgets = started(-20.0)
+    budgets = create_budgets(-20.0)
     for budget in budgets:
         budget.note_nodes(nodes, -20.0)
     repeats: list[float] = []
     for number in range(4000):
         now = number * 0.01
         if number == 1500:
-            budgets = started(now)
+            budgets = create_budgets(now)
         if number == 1600:
             for budget in budgets:
                 budget.note_nodes(nodes, now)
@@ -74,8 +77,8 @@
         assert within <= LIMITS.ratio * 1000 + LIMITS.allowance
 
 
-def test_a_part_of_the_group_does_not_take_the_whole_allowance() -> None:
-    """Nodes lose sight of half of the others, who spend their share too."""
+def test_partial_group_does_not_use_the_whole_allowance() -> None:
+    """Nodes lose contact with others, which still spend their share."""
     budget = repeat_budget.RepeatBudget(LIMITS, -20.0)
     budget.note_nodes(10, 0.0)
     budget.note_nodes(5, 30.0)
--- a/tests/policy/test_thousands_of_engines.py
+++ b/tests/policy/test_thousands_of_engines.py
@@ -1,4 +1,4 @@
-"""Requests before thousands of engines, dozens of which are alike."""
+"""Path choice among thousands of engines, with dozens of equal ones."""
 
 from __future__ import annotations
 
@@ -24,18 +24,16 @@
         (COPIES, GROUPS * engine_sample.MAX_PER_GROUP),
     ],
 )
-def test_a_search_looks_at_a_few_of_each_group(
-    copies: int, searched: int
-) -> None:
-    """The search over all engines was most of a node's processor time."""
+def test_search_samples_each_group(copies: int, searched: int) -> None:
+    """The search over all engines took most of a node's CPU time."""
     chooser = small._chooser()
     found = chooser.candidates.find(large.fleet(copies), 0.0)
     assert len(found) == searched
     assert len({(c.zone, c.start) for c in found}) == GROUPS
 
 
-def test_nodes_spread_over_engines_that_are_alike() -> None:
-    """Nodes that all sample the same few would overload them."""
+def test_nodes_spread_over_equal_engines() -> None:
+    """If all nodes sampled the same few engines, they would overload them."""
     view = large.fleet(COPIES)
     firsts = set()
     for seed in range(300):
@@ -49,7 +47,7 @@
     assert len(firsts) > 0.7 * 3 * COPIES
 
 
-def test_room_outside_the_sample_is_found() -> None:
+def test_room_outside_the_sample_is_used() -> None:
     """Callers would be refused while one engine of each group has room."""
     chooser = small._chooser()
     view = large.fleet(COPIES)
@@ -62,8 +60,8 @@
 
 
 @pytest.mark.parametrize("others_full", [False, True])
-def test_a_moved_request_keeps_its_other_engines(others_full: bool) -> None:
-    """Left out of a sample, they would have to read its tokens again."""
+def test_moved_request_keeps_its_other_engines(others_full: bool) -> None:
+    """If the sample omits them, other engines must prefill its tokens again."""
     chooser = small._chooser()
     view = large.fleet(COPIES)
     chosen = chooser.choose(view, small.TOKENS, 0.0)
