--- a/src/almondshift/policy/layer_plan.py
+++ b/src/almondshift/policy/layer_plan.py
@@ -244,7 +244,7 @@
     spec: engine_specs.EngineSpec,
     is_busy: bool,
 ) -> list[LayerOrder]:
-    """Fills holes and assigns layers to empty engines, or improves the plan.
+    """Fills holes and assigns layers to empty engines, or improves the layout.
 
     Args:
         group: Engines of one or more chains.
--- a/tests/policy/test_probe_timing.py
+++ b/tests/policy/test_probe_timing.py
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize(
-    ("events", "lasted_s", "patience_s"),
+    ("events", "lasted_s", "limit_s"),
     [
         (0, 0.0, probe_timing.FIRST_SILENT_S),
         (1, 0.0, probe_timing.LEAST_SILENT_S),
@@ -36,11 +36,11 @@
     ],
 )
 def test_silence_limit_follows_the_interval_of_events(
-    events: int, lasted_s: float, patience_s: float
+    events: int, lasted_s: float, limit_s: float
 ) -> None:
     """With a fixed limit, streams on slow accelerators are always probed."""
     found_s = probe_timing.patience_s(events, lasted_s)
-    assert found_s == pytest.approx(patience_s)
+    assert found_s == pytest.approx(limit_s)
 
 
 @pytest.mark.parametrize("nodes", [7, 75, 300])
