--- a/src/almondshift/node/__init__.py
+++ b/src/almondshift/node/__init__.py
@@ -1,1 +1,1 @@
-"""The application: it wires policy and coordination to the ports."""
+"""The node application, which connects policy and coordination to ports."""
--- a/src/almondshift/node/application.py
+++ b/src/almondshift/node/application.py
@@ -1,4 +1,4 @@
-"""Builds a node from its ports and starts its parts in order."""
+"""Builds a node from its ports and starts its components in order."""
 
 from __future__ import annotations
 
@@ -59,14 +59,14 @@
     from almondshift.ports import vm_lists
 
 CONTROL_LEASE = "control"
-SETTLE_S = 5.0
+DISPATCH_SETTLE_TIMEOUT_S = 5.0
 
 logger = logging.getLogger(__name__)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NodePorts:
-    """What a node reaches the outside through."""
+    """The ports through which a node reaches external systems."""
 
     clock: clocks.Clock
     table: stores.TableStore
@@ -79,7 +79,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NodeChoices:
-    """What may be exchanged against a baseline."""
+    """Components that can be replaced by a baseline for comparison."""
 
     router: routers.Router
     planner: planners.Planner
@@ -92,13 +92,13 @@
 
 
 class LeaseGuard(reconciler.OrderGuard):
-    """Allows orders while the control lease is held."""
+    """Permits orders while this node holds the control lease."""
 
     def __init__(self, lease: leases.Lease) -> None:
         self.lease = lease
 
     def fencing(self) -> int | None:
-        """Returns the fencing number of a grant that holds now."""
+        """Returns the fencing token of the current grant, else None."""
         grant = self.lease.grant()
         return grant.fencing if grant else None
 
@@ -107,10 +107,10 @@
     """One node of the system.
 
     Attributes:
-        gateway: Where the HTTP front sends callers.
-        operations: Where the HTTP front sends operators.
-        answer_times: How long answers took lately; the front notes them.
-        entry_address: Where callers reach this node.
+        gateway: Serves the callers' requests of the HTTP front.
+        operations: Serves the operators' requests of the HTTP front.
+        answer_times: Recent response times, recorded by the HTTP front.
+        entry_address: Address under which callers reach this node.
     """
 
     def __init__(
@@ -129,7 +129,7 @@
         )
         self._build_coordination()
         self._build_endpoints(choices)
-        self._build_callers_side(choices)
+        self._build_request_handling(choices)
         self.counts = objectives.create_objective_counts(ports.clock)
         self.operations = operations.NodeOperations(
             self.config, lambda: status.describe(self), self.counts.snapshot
@@ -165,10 +165,10 @@
             ),
             self.seeds.addresses,
         )
-        self.spread = config_spread.create_config_spread(
+        self.config_sync = config_spread.create_config_sync(
             self.config, self.membership, ports.clock, rng
         )
-        questions = at_most_once.ClaimQuestions(self.membership)
+        claim_queries = at_most_once.ClaimQueries(self.membership)
         self.grouped = grouped_writes.create_grouped_store(ports.table)
         self.claims = claims.create_claims(
             self.grouped,
@@ -176,9 +176,9 @@
             ports.clock,
             rng,
             settings.name,
-            questions.ask,
+            claim_queries.ask,
         )
-        questions.use(self.claims)
+        claim_queries.use(self.claims)
         self.sweeper = sweeper.create_sweeper(
             claim_sweep.create_claim_sweep(
                 ports.table,
@@ -239,9 +239,11 @@
             reconciler.ReconcilerSettings(),
         )
 
-    def _build_callers_side(self, choices: NodeChoices) -> None:
+    def _build_request_handling(self, choices: NodeChoices) -> None:
         settings, ports = self.settings, self.ports
-        self.budget = kept_inputs.create_kept_inputs(settings.kept_inputs_bytes)
+        self.budget = kept_inputs.create_kept_inputs_budget(
+            settings.kept_inputs_bytes
+        )
         self.entries = entries.EntryList(
             self.membership,
             self.load_exchange,
@@ -287,7 +289,7 @@
         )
 
     async def start(self, entry_address: str) -> None:
-        """Starts all parts; callers may come as soon as it returns.
+        """Starts all components; requests may arrive once it returns.
 
         Args:
             entry_address: ``host:port`` on which callers are served.
@@ -296,14 +298,14 @@
         self.membership.node = dataclasses.replace(
             self.membership.node, entry_address=self.entry_address
         )
-        self.membership.subscribe(peers.FactKind.LEAVING, self._heard_leaving)
+        self.membership.subscribe(peers.FactKind.LEAVING, self._on_leaving_fact)
         self.membership.subscribe(
             peers.FactKind.QUARANTINE, self.quarantine.merge
         )
         await self.driver.start()
         await self.membership.start()
         await self.seeds.start(self.membership.node.peer_address)
-        await self.spread.start()
+        await self.config_sync.start()
         await self.config.start()
         await self.directory.start()
         await self.load_exchange.start()
@@ -313,30 +315,32 @@
         await self.sweeper.start()
 
     async def stop_gracefully(self) -> drains.DrainReport:
-        """Leaves the entries and waits for what is in flight.
+        """Withdraws this node from the entry lists and drains it.
 
-        The control lease is given up at once, so that another node gives
-        orders while this one drains. Leaving doesn't wait for that: with a
-        store that hung, peers went on naming this node, and its grace time
-        began later than the platform counts it.
+        The control lease is released at once, so that another node can send
+        orders while this one drains. The drain doesn't wait for the release:
+        if the store hangs, peers would keep listing this node, and its grace
+        period would start later than the platform's.
         """
         await self.reconciler.close()
-        given_back = asyncio.ensure_future(self.lease.close())
+        lease_release = asyncio.ensure_future(self.lease.close())
         report = await self.drain.run()
         if self.once.running:
-            await asyncio.wait(self.once.running, timeout=SETTLE_S)
-        await given_back
+            await asyncio.wait(
+                self.once.running, timeout=DISPATCH_SETTLE_TIMEOUT_S
+            )
+        await lease_release
         return report
 
     async def close(self) -> None:
-        """Closes all parts, those that others rely on last."""
+        """Closes all components, each one after those that depend on it."""
         await self.sweeper.close()
         await self.reconciler.close()
         await self.load_exchange.close()
         await self.lease.close()
         await self.claims.close()
         await self.grouped.close()
-        await self.spread.close()
+        await self.config_sync.close()
         await self.config.close()
         await self.seeds.close()
         await self.membership.close()
@@ -347,9 +351,9 @@
         self.entries.leaving = True
         await self.membership.announce_leaving()
 
-    def _heard_leaving(self, key: str, fact: peers.Fact | None) -> None:
+    def _on_leaving_fact(self, key: str, fact: peers.Fact | None) -> None:
         self.leaving.fact_changed(key, fact)
-        self.directory.tell_leaving()
+        self.directory.notify_router_of_leaving()
 
     def _apply(
         self, version: operation_ports.ConfigVersion, value: fleet.Fleet
@@ -358,7 +362,7 @@
         self.gateway.current = value
         self.gateway.key_table = keys.create_key_table(value.accounts)
         self.counts.use(value)
-        self.driver.tell(
+        self.driver.notify(
             events.FleetChanged(self.ports.clock.monotonic(), value)
         )
         log_events.emit(
@@ -385,5 +389,5 @@
     choices: NodeChoices,
     rng: random.Random,
 ) -> Node:
-    """Builds a node; not started yet."""
+    """Builds a node without starting it."""
     return Node(settings, ports, choices, rng)
--- a/src/almondshift/node/at_most_once.py
+++ b/src/almondshift/node/at_most_once.py
@@ -1,4 +1,4 @@
-"""Runs non-idempotent work under a claim, and keeps its answer for repeats."""
+"""Runs non-idempotent work under a claim and stores its result for retries."""
 
 from __future__ import annotations
 
@@ -19,8 +19,10 @@
 
     from almondshift.coordination import membership as memberships
 
-    Kept = expression.Result[claim_rows.StoredResult, errors.AlmondshiftError]
-    Work = Callable[[], Awaitable[Kept]]
+    WorkResult = expression.Result[
+        claim_rows.StoredResult, errors.AlmondshiftError
+    ]
+    Work = Callable[[], Awaitable[WorkResult]]
 
 TOPIC = "claim"
 ASK_TIMEOUT_S = 1.0
@@ -28,16 +30,16 @@
 
 
 class AtMostOnce:
-    """Joins claims, and the questions that peers ask about them.
+    """Runs work at most once for each idempotency key.
 
     Attributes:
-        running: Dispatches that have not ended; a caller that goes away
-            does not end them, since a repeat wants their answer.
+        running: Dispatches in progress. They go on when the caller
+            disconnects, since a retry needs their result.
     """
 
     def __init__(self, claims: claim_parts.Claims) -> None:
         self.claims = claims
-        self.running: set[asyncio.Task[Kept]] = set()
+        self.running: set[asyncio.Task[WorkResult]] = set()
 
     async def run(
         self,
@@ -47,16 +49,16 @@
         body: bytes,
         deadline: float,
         work: Work,
-    ) -> Kept:
-        """Runs ``work`` if this attempt gets the claim, else waits for it.
+    ) -> WorkResult:
+        """Runs ``work`` if this attempt gets the claim, else awaits its result.
 
         Args:
             account: Client account.
             service: Service name.
             key: The caller's idempotency key.
-            body: What a repeat must have in common.
+            body: Content that a retry with the same key must match.
             deadline: Monotonic seconds.
-            work: Runs the request once; its error says whether it ran.
+            work: Runs the request once; its error states whether it ran.
         """
         taken = await self.claims.claim(account, service, key, body, deadline)
         match taken:
@@ -70,13 +72,15 @@
 
     async def _dispatch_shielded(
         self, claimed: claim_parts.Claimed, work: Work
-    ) -> Kept:
+    ) -> WorkResult:
         task = asyncio.create_task(self._dispatch(claimed, work))
         self.running.add(task)
         task.add_done_callback(self.running.discard)
         return await asyncio.shield(task)
 
-    async def _dispatch(self, claimed: claim_parts.Claimed, work: Work) -> Kept:
+    async def _dispatch(
+        self, claimed: claim_parts.Claimed, work: Work
+    ) -> WorkResult:
         if not self.claims.may_dispatch(claimed):
             await self.claims.release_not_run(claimed)
             return expression.Error(
@@ -87,7 +91,7 @@
         return outcome
 
     async def _settle(
-        self, claimed: claim_parts.Claimed, outcome: Kept
+        self, claimed: claim_parts.Claimed, outcome: WorkResult
     ) -> None:
         match outcome:
             case expression.Result(tag="ok", ok=result):
@@ -96,33 +100,35 @@
                 if error.execution is errors.Execution.NOT_RUN:
                     await self.claims.release_not_run(claimed)
                 else:
-                    await self.claims.finish(claimed, _as_result(error))
+                    await self.claims.finish(claimed, _as_stored_result(error))
 
 
-def _as_result(error: errors.AlmondshiftError) -> claim_rows.StoredResult:
-    """Keeps a failure as the answer: a repeat must hear the same, not run."""
+def _as_stored_result(
+    error: errors.AlmondshiftError,
+) -> claim_rows.StoredResult:
+    """Turns a failure into a result, so that retries get it without a run."""
     problem = problems.render(error, NO_REQUEST_ID)
     return claim_rows.StoredResult(
         problem.status, problems.CONTENT_TYPE, problem.body
     )
 
 
-class ClaimQuestions:
-    """Asks peers about attempts, and answers their questions."""
+class ClaimQueries:
+    """Asks peers about attempts and answers their queries."""
 
     def __init__(self, membership: memberships.Membership) -> None:
         self.membership = membership
         self.claims: claim_parts.Claims | None = None
 
     def use(self, claims: claim_parts.Claims) -> None:
-        """Starts to answer from these claims."""
+        """Starts answering queries from these claims."""
         self.claims = claims
         self.membership.answer(TOPIC, self._answer)
 
     async def ask(
         self, node: str, attempt: str
     ) -> claim_attempts.ClaimantAnswer:
-        """Asks a node; silence is ``UNKNOWN``."""
+        """Asks a node; returns ``UNKNOWN`` if it does not answer."""
         answer = await self.membership.ask(
             node, TOPIC, attempt.encode(), ASK_TIMEOUT_S
         )
--- a/src/almondshift/node/coalescer.py
+++ b/src/almondshift/node/coalescer.py
@@ -1,7 +1,7 @@
-"""Sends steps of many requests to one engine in few calls.
+"""Batches the steps of many requests into few calls to one engine.
 
-A call costs the node about the same whether it carries one step or many, so
-what arrives while calls are in flight travels together in the next one.
+A call costs the node about the same for one step as for many, so steps that
+arrive while calls are in flight are sent together in the next call.
 """
 
 from __future__ import annotations
@@ -25,13 +25,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CoalescerSettings:
-    """How steps travel.
+    """How steps are batched.
 
     Attributes:
-        max_calls: Calls in flight: one that the engine runs and one that
-            waits there, so that it never idles between batches.
-        limits: What fits in one call.
-        coalesce: False to send each step in a call of its own.
+        max_calls: Maximum calls in flight: one that the engine runs and one
+            queued there, so that it never idles between batches.
+        limits: Size limits of one call.
+        coalesce: False to send each step in its own call.
     """
 
     max_calls: int = 2
@@ -43,15 +43,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallTiming:
-    """One call to the engine.
+    """Statistics of one call to the engine.
 
     Attributes:
-        items: Items that it carried.
-        tokens: Their tokens.
-        layers: Layers that the longest range among them has.
-        seconds: From sending to the whole answer.
-        waited_s: How long its oldest item waited before.
-        error: Kind of the error, ``""`` if it was answered.
+        items: Number of items in the call.
+        tokens: Total tokens of the items.
+        layers: Number of layers in the longest layer range among the items.
+        seconds: Time from sending to the complete response.
+        waited_s: Queueing time of the oldest item.
+        error: Kind of the error, ``""`` if the call succeeded.
     """
 
     items: int
@@ -63,10 +63,11 @@
 
 
 class Coalescer:
-    """Steps to one engine.
+    """Queues and batches the steps for one engine.
 
     Attributes:
-        mismatched_echoes: Results that did not echo their item; dropped.
+        mismatched_results: Number of results dropped because they did not
+            match their item.
     """
 
     def __init__(
@@ -75,14 +76,14 @@
         clock: clocks.Clock,
         settings: CoalescerSettings,
         on_call: Callable[[CallTiming], None],
-        call_limit_s: Callable[[], float],
+        call_timeout_s: Callable[[], float],
     ) -> None:
         self.engine = engine
         self.clock = clock
         self.settings = settings
         self.on_call = on_call
-        self.call_limit_s = call_limit_s
-        self.mismatched_echoes = 0
+        self.call_timeout_s = call_timeout_s
+        self.mismatched_results = 0
         limits = settings.limits
         if not settings.coalesce:
             limits = dataclasses.replace(limits, items=1)
@@ -90,41 +91,43 @@
         self.sequence = 0
         self.calls: set[asyncio.Task[None]] = set()
         self.is_open = False
-        self.pump_is_due = False
+        self.is_send_scheduled = False
 
     async def start(self) -> None:
-        """Accepts steps."""
+        """Starts accepting steps."""
         self.is_open = True
 
     async def close(self) -> None:
-        """Fails what waits as not sent, and what is in flight as unknown."""
+        """Fails queued items as not sent and items in flight as unknown."""
         self.is_open = False
         calls = list(self.calls)
         for call in calls:
             call.cancel()
         await asyncio.gather(*calls, return_exceptions=True)
         for waiter in self.queue.drain():
-            resolve(waiter, give_up(waiter, "the connection was closed"))
+            resolve(
+                waiter, unanswered_outcome(waiter, "the connection was closed")
+            )
 
     async def submit(self, item: steps.StepItem) -> step_queue.StepOutcome:
-        """Runs one item; ends when its call ends, which is limited.
+        """Runs one item; waits until its calls have ended or timed out.
 
-        Time in the queue doesn't count against the limit: under a burst a
-        healthy engine's queue is long, and taking that for a dead engine
-        would replay the work elsewhere when all are busiest. When a call
-        gets no answer, all that waits is given back as not sent.
+        Time in the queue doesn't count towards the time-out: under a burst
+        a healthy engine's queue is long, and treating that engine as dead
+        would replay the work elsewhere at peak load. When a call gets no
+        answer, all queued items fail as not sent.
 
         Args:
-            item: The item; a long one may travel in portions.
+            item: The item; a long one may be split into portions.
 
         Returns:
             The result, whose status may say that it was not run; or
-            ``EndpointUnreachable`` and ``EndpointRefused`` if it was not
+            ``EndpointUnreachable`` or ``EndpointRefused`` if it was not
             run, ``EndpointOutcomeUnknown`` if it, or a part, may have run.
         """
         waiter = self._enqueue(item)
         if not self.is_open:
-            return give_up(waiter, "the connection is closed")
+            return unanswered_outcome(waiter, "the connection is closed")
         return await waiter.done
 
     def _enqueue(self, item: steps.StepItem) -> step_queue.Waiter:
@@ -137,18 +140,18 @@
         )
         if self.is_open:
             self.queue.push(waiter)
-            self._schedule_pump()
+            self._schedule_send()
         return waiter
 
-    def _schedule_pump(self) -> None:
-        """Sends in the loop's next round, with all that comes until then."""
-        if self.pump_is_due or len(self.calls) >= self.settings.max_calls:
+    def _schedule_send(self) -> None:
+        """Sends at the loop's next iteration, batching what arrives by then."""
+        if self.is_send_scheduled or len(self.calls) >= self.settings.max_calls:
             return
-        self.pump_is_due = True
-        asyncio.get_running_loop().call_soon(self._pump)
+        self.is_send_scheduled = True
+        asyncio.get_running_loop().call_soon(self._send_queued)
 
-    def _pump(self) -> None:
-        self.pump_is_due = False
+    def _send_queued(self) -> None:
+        self.is_send_scheduled = False
         while self.is_open and len(self.calls) < self.settings.max_calls:
             portions = self.queue.take()
             if not portions:
@@ -159,52 +162,54 @@
 
     def _end_call(self, call: asyncio.Task[None]) -> None:
         self.calls.discard(call)
-        self._schedule_pump()
+        self._schedule_send()
 
     async def _call(self, portions: list[step_queue.Portion]) -> None:
-        begun_at = self.clock.monotonic()
+        sent_at = self.clock.monotonic()
         try:
             outcome = await self._step([portion.item for portion in portions])
         except asyncio.CancelledError:
             for portion in portions:
                 resolve(
                     portion.waiter,
-                    give_up(portion.waiter, "the connection was closed"),
+                    unanswered_outcome(
+                        portion.waiter, "the connection was closed"
+                    ),
                 )
             raise
-        self._report(portions, begun_at, outcome)
+        self._report(portions, sent_at, outcome)
         if outcome.is_error():
             self._fail(portions, outcome.error)
-            self._give_back_waiting(outcome.error)
+            self._fail_queued(outcome.error)
             return
         self._answer(portions, outcome.ok)
 
     async def _step(
         self, items: list[steps.StepItem]
     ) -> expression.Result[list[steps.StepResult], engines.EngineError]:
-        limit_s = self.call_limit_s()
+        timeout_s = self.call_timeout_s()
         try:
-            async with asyncio.timeout(limit_s):
-                return await self.engine.step(items, limit_s)
+            async with asyncio.timeout(timeout_s):
+                return await self.engine.step(items, timeout_s)
         except TimeoutError:
-            detail = f"No answer came to a call within {limit_s:.2f} s."
+            detail = f"The engine did not answer within {timeout_s:.2f} s."
             return expression.Error(errors.EndpointOutcomeUnknown(detail))
 
-    def _give_back_waiting(self, error: engines.EngineError) -> None:
-        """Ends what waits behind a call that got no answer.
+    def _fail_queued(self, error: engines.EngineError) -> None:
+        """Fails the queued items after a call that got no answer.
 
-        Behind a frozen engine each waiting step would else wait for one
-        more call to time out, and recovery would take several limits.
+        Otherwise each step queued for a frozen engine would wait for one
+        more call to time out, and recovery would take several time-outs.
         """
         if isinstance(error, errors.EndpointRefused):
             return
         for waiter in self.queue.drain():
-            resolve(waiter, give_up(waiter, "a call got no answer"))
+            resolve(waiter, unanswered_outcome(waiter, "a call got no answer"))
 
     def _report(
         self,
         portions: list[step_queue.Portion],
-        begun_at: float,
+        sent_at: float,
         outcome: expression.Result[list[steps.StepResult], engines.EngineError],
     ) -> None:
         oldest = min(portion.waiter.submitted_at for portion in portions)
@@ -214,8 +219,8 @@
                 len(portions),
                 tokens,
                 max(portion.item.layers.count for portion in portions),
-                self.clock.monotonic() - begun_at,
-                begun_at - oldest,
+                self.clock.monotonic() - sent_at,
+                sent_at - oldest,
                 outcome.error.kind if outcome.is_error() else "",
             )
         )
@@ -226,7 +231,7 @@
         error: engines.EngineError,
     ) -> None:
         for portion in portions:
-            resolve(portion.waiter, failure(portion.waiter, error))
+            resolve(portion.waiter, failed_outcome(portion.waiter, error))
 
     def _answer(
         self,
@@ -234,8 +239,8 @@
         results: list[steps.StepResult],
     ) -> None:
         if len(results) != len(portions):
-            self.mismatched_echoes += len(portions)
-            detail = f"{len(results)} results came for {len(portions)} items."
+            self.mismatched_results += len(portions)
+            detail = f"Got {len(results)} results for {len(portions)} items."
             self._fail(portions, errors.EndpointOutcomeUnknown(detail))
             return
         for portion, result in zip(portions, results, strict=True):
@@ -246,13 +251,13 @@
     ) -> None:
         waiter = portion.waiter
         if not result.answers(portion.item):
-            self.mismatched_echoes += 1
-            detail = "A result came that answers another item."
+            self.mismatched_results += 1
+            detail = "The engine returned a result for another item."
             error = errors.EndpointOutcomeUnknown(detail)
             resolve(waiter, expression.Error(error))
             return
         if result.status is not steps.StepStatus.OK:
-            resolve(waiter, refusal(waiter, result))
+            resolve(waiter, refused_outcome(waiter, result))
             return
         if portion.item is waiter.item:
             resolve(waiter, expression.Ok(result))
@@ -263,7 +268,7 @@
     def _continue(
         self, waiter: step_queue.Waiter, result: steps.StepResult
     ) -> None:
-        if waiter.left:
+        if waiter.remaining:
             self.queue.push(waiter)
             return
         whole = dataclasses.replace(
@@ -275,54 +280,56 @@
 
 
 def resolve(waiter: step_queue.Waiter, outcome: step_queue.StepOutcome) -> None:
-    """Gives a waiter its outcome, unless it left."""
+    """Resolves a waiter with its outcome, unless it is already done."""
     if not waiter.done.done():
         waiter.done.set_result(outcome)
 
 
-def expire(waiter: step_queue.Waiter) -> None:
-    """Ends the wait of a waiter whose time is over."""
-    resolve(waiter, give_up(waiter, "the time was over"))
+def expire_waiter(waiter: step_queue.Waiter) -> None:
+    """Ends the wait of a waiter whose time has run out."""
+    resolve(waiter, unanswered_outcome(waiter, "the step timed out"))
 
 
-def failure(
+def failed_outcome(
     waiter: step_queue.Waiter, error: engines.EngineError
 ) -> step_queue.StepOutcome:
     """Returns the outcome of a waiter whose call failed.
 
-    An error that says "not run" speaks of the last portion only.
+    An error that says "not run" applies only to the last portion.
     """
     if waiter.outputs:
-        return partly_run(waiter, error.detail)
+        return partial_outcome(waiter, error.detail)
     return expression.Error(error)
 
 
-def refusal(
+def refused_outcome(
     waiter: step_queue.Waiter, result: steps.StepResult
 ) -> step_queue.StepOutcome:
     """Returns the outcome of a waiter whose portion was not run."""
     if waiter.outputs:
-        return partly_run(waiter, f"the engine answered {result.status}")
+        return partial_outcome(waiter, f"the engine answered {result.status}")
     return expression.Ok(
         dataclasses.replace(result, position=waiter.item.position)
     )
 
 
-def partly_run(
+def partial_outcome(
     waiter: step_queue.Waiter, reason: str
 ) -> step_queue.StepOutcome:
-    """Returns the outcome of a waiter of which some portions ran."""
+    """Returns the outcome of a waiter whose item ran only in part."""
     ran = len(waiter.outputs)
     detail = f"{ran} of {len(waiter.item.inputs)} inputs ran, then: {reason}."
     return expression.Error(errors.EndpointOutcomeUnknown(detail))
 
 
-def give_up(waiter: step_queue.Waiter, reason: str) -> step_queue.StepOutcome:
-    """Returns the outcome of a waiter that waits no longer."""
+def unanswered_outcome(
+    waiter: step_queue.Waiter, reason: str
+) -> step_queue.StepOutcome:
+    """Returns the outcome of a waiter that is given up without an answer."""
     if waiter.is_sent:
-        detail = f"No answer came to a step: {reason}."
+        detail = f"The step got no answer: {reason}."
         return expression.Error(errors.EndpointOutcomeUnknown(detail))
-    detail = f"A step was not sent: {reason}."
+    detail = f"The step was not sent: {reason}."
     return expression.Error(errors.EndpointUnreachable(detail))
 
 
@@ -331,15 +338,15 @@
     clock: clocks.Clock,
     settings: CoalescerSettings,
     on_call: Callable[[CallTiming], None],
-    call_limit_s: Callable[[], float],
+    call_timeout_s: Callable[[], float],
 ) -> Coalescer:
-    """Creates a coalescer; it is not started yet.
+    """Creates a coalescer without starting it.
 
     Args:
-        engine: A started connection; the caller closes it.
-        clock: Measures calls.
-        settings: ``step_queue.limits_for`` gives limits that fit an engine.
-        on_call: Called after each call, also a failed one.
-        call_limit_s: Gives the seconds that the next call may take.
+        engine: A started client; the caller closes it.
+        clock: Clock used to time calls.
+        settings: ``step_queue.limits_for`` returns limits for an engine.
+        on_call: Called after each call, including failed ones.
+        call_timeout_s: Returns the time-out of the next call in seconds.
     """
-    return Coalescer(engine, clock, settings, on_call, call_limit_s)
+    return Coalescer(engine, clock, settings, on_call, call_timeout_s)
--- a/src/almondshift/node/completions.py
+++ b/src/almondshift/node/completions.py
@@ -1,4 +1,4 @@
-"""Takes completions from arrival to their end."""
+"""Admits, dispatches and streams completions."""
 
 from __future__ import annotations
 
@@ -30,21 +30,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CompletionSettings:
-    """Switches of the pipeline.
+    """Settings of the pipeline.
 
     Attributes:
         keep_inputs: Whether stage inputs are kept for replay; without them
-            every recovery starts again from the tokens.
+            every recovery recomputes from the tokens.
     """
 
     keep_inputs: bool = True
 
 
 class RunningCompletion(gateway.CompletionStream):
-    """A completion that was given a chain.
+    """A completion that was dispatched to a chain.
 
     Attributes:
-        pipeline: The work itself, with the tokens so far.
+        pipeline: Runs the completion and holds its tokens so far.
     """
 
     def __init__(
@@ -64,14 +64,14 @@
         """Yields the tokens; closing it early cancels the work.
 
         Raises:
-            errors.AlmondshiftError: The completion can't go on.
+            errors.AlmondshiftError: The completion failed.
         """
         request_id = self.pipeline.request.request_id
         source = self.pipeline.generate()
         try:
             async for token in source:
                 now = self.clock.monotonic()
-                self.driver.tell(events.Progress(now, request_id, 1))
+                self.driver.notify(events.Progress(now, request_id, 1))
                 yield token
             self._end(events.Completed(self.clock.monotonic(), request_id))
         finally:
@@ -79,7 +79,7 @@
             self.close()
 
     def close(self) -> None:
-        """Drops the work and tells the router; safe to call again."""
+        """Cancels the work and notifies the router; idempotent."""
         self.pipeline.close()
         self._end(
             events.Abandoned(
@@ -88,7 +88,7 @@
         )
 
     def execution(self) -> errors.Execution:
-        """Returns what the pipeline knows."""
+        """Returns whether the completion ran, as the pipeline knows it."""
         return self.pipeline.known_execution()
 
     def chain(self) -> chains.Chain:
@@ -96,7 +96,7 @@
         return self.pipeline.chain
 
     def summary(self) -> completions.CompletionSummary:
-        """Returns where the time went."""
+        """Returns the timings of the completion."""
         return self.pipeline.summary()
 
     def _end(self, event: events.Completed | events.Abandoned) -> None:
@@ -104,7 +104,7 @@
             return
         self._ended = True
         self.guard.forget(event.request_id)
-        self.driver.tell(event)
+        self.driver.notify(event)
 
 
 class CompletionService:
@@ -115,7 +115,7 @@
         calls: pipeline.StageCalls,
         driver: router_driver.RouterDriver,
         guard: crash_guard.CrashGuard,
-        budget: kept_inputs.KeptInputs,
+        budget: kept_inputs.KeptInputsBudget,
         clock: clocks.Clock,
         settings: CompletionSettings,
     ) -> None:
@@ -129,7 +129,7 @@
     async def start(
         self, request: completions.CompletionRequest, prefixes: tuple[int, ...]
     ) -> expression.Result[RunningCompletion, errors.AlmondshiftError]:
-        """Waits until the router gives a chain or refuses."""
+        """Waits until the router assigns a chain or refuses the request."""
         now = self.clock.monotonic()
         if request.deadline <= now:
             return expression.Error(
--- a/src/almondshift/node/config_spread.py
+++ b/src/almondshift/node/config_spread.py
@@ -1,7 +1,7 @@
-"""Spreads configuration versions between nodes.
+"""Distributes configuration versions between nodes.
 
-The store is the authority; peers only say that there is something newer, and
-give the text when the store is away.
+The store is the source of truth; peers only announce that a newer version
+exists and supply its text while the store is unavailable.
 """
 
 from __future__ import annotations
@@ -27,16 +27,16 @@
 
 KEY = "config"
 TOPIC = "config"
-TTL_S = 3600.0
-REPEAT_S = 900.0
+FACT_TTL_S = 3600.0
+REPUBLISH_INTERVAL_S = 900.0
 ASK_TIMEOUT_S = 2.0
-SPREAD_S = 0.3
+MAX_FETCH_DELAY_S = 0.3
 
 logger = logging.getLogger(__name__)
 
 
-class ConfigSpread:
-    """Joins the versioned configuration to the membership."""
+class ConfigSync:
+    """Announces and fetches configuration versions over the membership."""
 
     def __init__(
         self,
@@ -52,33 +52,33 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
-        """Starts to tell and to listen."""
+        """Starts to announce versions and to listen for announcements."""
         self.membership.answer(TOPIC, self._answer)
-        self.membership.subscribe(peers.FactKind.CONFIG, self._heard)
-        self.config.subscribe(lambda version, _: self._tell(version))
-        self._spawn(self._repeat())
+        self.membership.subscribe(peers.FactKind.CONFIG, self._on_fact)
+        self.config.subscribe(lambda version, _: self._publish(version))
+        self._spawn(self._republish())
 
     async def close(self) -> None:
-        """Stops what runs."""
+        """Cancels the running tasks."""
         for task in list(self._tasks):
             task.cancel()
 
-    def _tell(self, version: operations.ConfigVersion) -> None:
-        known = self._told_version()
+    def _publish(self, version: operations.ConfigVersion) -> None:
+        known = self._published_version()
         if version.version <= known:
             return
         value = json.dumps(
             {"version": version.version, "at": self.membership.node.name}
         )
         self.membership.publish(
-            peers.FactKind.CONFIG, KEY, value.encode(), TTL_S
+            peers.FactKind.CONFIG, KEY, value.encode(), FACT_TTL_S
         )
 
-    def _told_version(self) -> int:
+    def _published_version(self) -> int:
         fact = self.membership.facts(peers.FactKind.CONFIG).get(KEY)
         return _version_of(fact) if fact else 0
 
-    def _heard(self, key: str, fact: peers.Fact | None) -> None:
+    def _on_fact(self, key: str, fact: peers.Fact | None) -> None:
         if fact is None:
             return
         current = self.config.current
@@ -86,25 +86,25 @@
         if _version_of(fact) > newest:
             self._spawn(self._fetch(fact))
         elif current is not None and _version_of(fact) < newest:
-            self._tell(current)
+            self._publish(current)
 
     async def _fetch(self, fact: peers.Fact) -> None:
-        await self.clock.sleep(self.rng.uniform(0, SPREAD_S))
-        if self._has(fact):
+        await self.clock.sleep(self.rng.uniform(0, MAX_FETCH_DELAY_S))
+        if self._has_version(fact):
             return
-        if (await self.config.poll()).is_ok() and self._has(fact):
+        if (await self.config.poll()).is_ok() and self._has_version(fact):
             return
         await self._ask_peer(fact)
 
-    def _has(self, fact: peers.Fact) -> bool:
+    def _has_version(self, fact: peers.Fact) -> bool:
         current = self.config.current
         return current is not None and current.version >= _version_of(fact)
 
     async def _ask_peer(self, fact: peers.Fact) -> None:
-        """Takes the text from a peer.
+        """Fetches the configuration text from a peer.
 
-        Without it, an outage of the store would leave this node on an older
-        version than its peers.
+        Otherwise this node would stay on an older version than its peers
+        for as long as the store is unavailable.
         """
         names = [str(json.loads(fact.value)["at"])]
         others = [peer.name for peer in self.membership.peers()]
@@ -118,7 +118,7 @@
                     self._offer(body)
                 case _:
                     continue
-            if self._has(fact):
+            if self._has_version(fact):
                 return
 
     def _offer(self, body: bytes) -> None:
@@ -141,12 +141,14 @@
             }
         ).encode()
 
-    async def _repeat(self) -> None:
+    async def _republish(self) -> None:
         while True:
-            await self.clock.sleep(REPEAT_S * self.rng.uniform(0.8, 1.2))
+            await self.clock.sleep(
+                REPUBLISH_INTERVAL_S * self.rng.uniform(0.8, 1.2)
+            )
             current = self.config.current
             if current is not None:
-                self._tell(current)
+                self._publish(current)
 
     def _spawn(self, work: Any) -> None:
         task = asyncio.create_task(work)
@@ -158,11 +160,11 @@
     return int(json.loads(fact.value)["version"])
 
 
-def create_config_spread(
+def create_config_sync(
     config: versioned_config.VersionedConfig[fleet.Fleet],
     membership: memberships.Membership,
     clock: clocks.Clock,
     rng: random.Random,
-) -> ConfigSpread:
-    """Builds the spread; not started yet."""
-    return ConfigSpread(config, membership, clock, rng)
+) -> ConfigSync:
+    """Builds the synchronisation without starting it."""
+    return ConfigSync(config, membership, clock, rng)
--- a/src/almondshift/node/crash_guard.py
+++ b/src/almondshift/node/crash_guard.py
@@ -1,11 +1,11 @@
-"""Keeps one request from taking down one endpoint after another.
-
-Most crashes are no request's doing, and those who wait then want their answer
-within a second. So what was in flight at a crash is run again at once, but
-never two such suspects on one endpoint at a time: a second crash then names
-the request that was in flight at both. That one is held until peers know of
-it and until it is clear that no rack died, and is then refused. A suspect
-that got past the step at which the endpoint crashed is cleared.
+"""Prevents one request from crashing one endpoint after another.
+
+Most crashes are not caused by a request, and callers then expect their answer
+within a second. Requests in flight at a crash (suspects) are therefore retried
+at once, but only one suspect at a time runs on an endpoint, so that a second
+crash identifies the request that was in flight at both. That request is held
+until peers know of it and a rack failure is ruled out, and is then refused. A
+suspect that gets past the step at which the endpoint crashed is cleared.
 """
 
 from __future__ import annotations
@@ -32,34 +32,35 @@
     from almondshift.ports import clocks
     from almondshift.ports import engines
 
-CONNECT_S = 0.1
-ANSWER_S = 0.1
-LOOKS = 8
-LOOK_AGAIN_S = 0.03
-LOOK_AROUND_S = 0.3
-"""Time between looks at idle endpoints; several fall in the window in which
-deaths are taken for those of a rack, as its engines don't die all at once."""
+CONNECT_TIMEOUT_S = 0.1
+DESCRIBE_TIMEOUT_S = 0.1
+MAX_CHECKS = 8
+CHECK_INTERVAL_S = 0.03
+IDLE_CHECK_INTERVAL_S = 0.3
+"""Interval between checks of idle endpoints. The engines of a failing rack
+don't all die at once, so several checks have to fit into the window in which
+crashes are attributed to the rack."""
 
-SLOT_S = 0.04
-MAX_SLOTS = 8
-SINGLE_LOSS = 1
+RETRY_SLOT_S = 0.04
+RETRY_SLOTS = 8
+SINGLE_CRASH = 1
 
 logger = logging.getLogger(__name__)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Place:
-    """How far a request was when an endpoint crashed under it."""
+class _CrashPosition:
+    """How far a request had got when its endpoint crashed."""
 
     layer: int
     position: int
 
 
 class CrashGuard:
-    """Judges broken calls, and gives suspects their turns.
+    """Detects crashes behind failed calls and serialises suspects.
 
     Attributes:
-        quarantine: What is known of crashes, here and at peers.
+        quarantine: The crashes known to this node and its peers.
     """
 
     def __init__(
@@ -74,17 +75,17 @@
         self.rank = rank
         self.clock = clock
         self._fingerprints: dict[str, str] = {}
-        self._places: dict[str, _Place] = {}
-        self._turns: dict[str, asyncio.Lock] = {}
-        self._judging: dict[str, asyncio.Task[bool]] = {}
+        self._crash_positions: dict[str, _CrashPosition] = {}
+        self._suspect_locks: dict[str, asyncio.Lock] = {}
+        self._crash_checks: dict[str, asyncio.Task[bool]] = {}
 
     def admit(
         self, request_id: str, fingerprint: str
     ) -> expression.Result[None, errors.Quarantined]:
-        """Takes a new request, or refuses one that crashed endpoints.
+        """Admits a new request, or refuses one that crashed endpoints.
 
         Args:
-            request_id: The request; ``forget`` has to follow.
+            request_id: The request; ``forget`` has to be called when it ends.
             fingerprint: From ``quarantine_verdicts.fingerprint_of``.
         """
         verdict = self.quarantine.may_run(fingerprint)
@@ -94,107 +95,116 @@
         return expression.Ok(None)
 
     def forget(self, request_id: str) -> None:
-        """Drops a request that ended."""
+        """Removes a request that ended."""
         self._fingerprints.pop(request_id, None)
 
     def _fingerprint(self, request_id: str) -> str:
-        """Returns the fingerprint; the id itself once it is forgotten."""
+        """Returns the fingerprint, or the id itself if it was forgotten."""
         return self._fingerprints.get(request_id, request_id)
 
     @contextlib.asynccontextmanager
-    async def turn(self, endpoint: str, request_id: str) -> AsyncIterator[None]:
-        """Runs one call; suspects wait for each other at an endpoint."""
+    async def call_slot(
+        self, endpoint: str, request_id: str
+    ) -> AsyncIterator[None]:
+        """Wraps one call; lets only one suspect at a time use an endpoint."""
         fingerprint = self._fingerprint(request_id)
         if not self.quarantine.counting(fingerprint):
             self.quarantine.in_flight(endpoint, fingerprint)
             yield
             return
-        lock = self._turns.setdefault(endpoint, asyncio.Lock())
+        lock = self._suspect_locks.setdefault(endpoint, asyncio.Lock())
         async with lock:
             self.quarantine.in_flight(endpoint, fingerprint)
             yield
 
-    async def ended(
+    async def step_ended(
         self,
         endpoint: str,
         item: steps.StepItem,
         outcome: expression.Result[steps.StepResult, engines.EngineError],
     ) -> None:
-        """Takes the outcome of a step; waits for the judgement of a crash."""
+        """Records the outcome of a step; waits for the crash check if any."""
         fingerprint = self._fingerprint(item.request_id)
-        place = _Place(item.layers.start, item.position + len(item.inputs))
+        place = _CrashPosition(
+            item.layers.start, item.position + len(item.inputs)
+        )
         if not _is_unknown(outcome):
             self.quarantine.done(endpoint, fingerprint)
-            self._note_passed(fingerprint, place, outcome.is_ok())
-        elif await self._crashed(endpoint):
-            self._places.setdefault(fingerprint, place)
+            self._note_progress(fingerprint, place, outcome.is_ok())
+        elif await self._has_crashed(endpoint):
+            self._crash_positions.setdefault(fingerprint, place)
             self._log_suspect(item.request_id, endpoint)
         else:
             self.quarantine.done(endpoint, fingerprint)
 
-    def gave_up(self, endpoint: str, request_id: str) -> None:
-        """Notes that nobody waits for a call any more."""
+    def call_abandoned(self, endpoint: str, request_id: str) -> None:
+        """Records that a call was cancelled by its caller."""
         fingerprint = self._fingerprint(request_id)
         self.quarantine.done(endpoint, fingerprint)
 
-    async def plain_ended(
+    async def plain_failed(
         self, endpoint: str, request_id: str, error: errors.AlmondshiftError
     ) -> None:
-        """Takes a failed call to a plain service."""
+        """Records a failed call to a plain service."""
         fingerprint = self._fingerprint(request_id)
         unknown = isinstance(error, errors.EndpointOutcomeUnknown)
-        if not unknown or not await self._crashed(endpoint):
+        if not unknown or not await self._has_crashed(endpoint):
             self.quarantine.done(endpoint, fingerprint)
 
     def plain_answered(self, endpoint: str, request_id: str) -> None:
-        """Takes a whole answer of a plain service; it clears a suspect."""
+        """Records a complete answer of a plain service; clears a suspect."""
         fingerprint = self._fingerprint(request_id)
         self.quarantine.done(endpoint, fingerprint)
         if self.quarantine.counting(fingerprint):
             self.quarantine.passed(fingerprint)
 
-    async def may_go_on(
+    async def admit_retry(
         self, request_id: str
     ) -> expression.Result[None, errors.AlmondshiftError]:
-        """Lets a request be run again after a failure, or refuses it.
+        """Admits a request for a retry after a failure, or refuses it.
 
-        One loss is let pass at once. After two, the wait of the quarantine
-        is kept before the final answer: a caller that is told earlier could
-        send the request through a node that has not heard of it.
+        After one crash the request is retried almost at once. After two, the
+        quarantine's wait has to pass before the final answer: a caller that
+        gets it earlier could send the request through a node that doesn't
+        know of the crashes yet.
         """
         fingerprint = self._fingerprint(request_id)
-        if self._losses(fingerprint) == SINGLE_LOSS:
-            await self.clock.sleep(self._slot_s(fingerprint))
-        while self._losses(fingerprint) > SINGLE_LOSS:
-            await self._look_around(fingerprint)
+        if self._crash_count(fingerprint) == SINGLE_CRASH:
+            await self.clock.sleep(self._retry_delay_s(fingerprint))
+        while self._crash_count(fingerprint) > SINGLE_CRASH:
+            await self._check_idle_endpoints(fingerprint)
             verdict = self.quarantine.may_run(fingerprint)
             if verdict.convicted:
-                return expression.Error(self._convicted(request_id, verdict))
+                return expression.Error(
+                    self._conviction_error(request_id, verdict)
+                )
             if verdict.kind is not quarantine_verdicts.VerdictKind.REFUSED:
                 break
-            await self.clock.sleep(min(verdict.retry_after_s, LOOK_AROUND_S))
+            await self.clock.sleep(
+                min(verdict.retry_after_s, IDLE_CHECK_INTERVAL_S)
+            )
         verdict = self.quarantine.may_run(fingerprint)
         if verdict.convicted:
-            return expression.Error(self._convicted(request_id, verdict))
+            return expression.Error(self._conviction_error(request_id, verdict))
         return expression.Ok(None)
 
-    def _slot_s(self, fingerprint: str) -> float:
-        """Returns how long this node's suspects wait for those of others.
+    def _retry_delay_s(self, fingerprint: str) -> float:
+        """Returns the delay that staggers retries between nodes.
 
-        Several nodes have suspects of one crash. Run again at one moment on
-        one endpoint, an innocent one would be lost with the guilty one a
-        second time and be refused for it. The nodes' order differs for each
-        endpoint, so that none always waits longest.
+        Several nodes may have suspects of the same crash. Retried at the same
+        time on one endpoint, an innocent request would crash a second time
+        with the guilty one and be refused. The order of the nodes differs by
+        endpoint, so that no node always waits longest.
         """
         endpoint = self.quarantine.counting(fingerprint)[0].endpoint
-        return SLOT_S * (self.rank(endpoint) % MAX_SLOTS)
+        return RETRY_SLOT_S * (self.rank(endpoint) % RETRY_SLOTS)
 
-    async def _look_around(self, fingerprint: str) -> None:
-        """Looks for idle endpoints that died with those that were busy.
+    async def _check_idle_endpoints(self, fingerprint: str) -> None:
+        """Checks whether idle endpoints crashed along with the busy ones.
 
-        Of a rack that dies, only engines with work of this node show it at
-        once. Without the others two of them would look like the doing of
-        the request that was moved from the one to the other.
+        When a rack fails, this node notices at once only the engines that
+        run its work. Without checking the others, two crashes in the rack
+        would be blamed on the request that moved from one to the other.
         """
         crashes = self.quarantine.counting(fingerprint)
         zones = {crash.zone for crash in crashes}
@@ -204,9 +214,9 @@
             for name, known in self.directory.endpoints.items()
             if known.vm.zone in zones and name not in known_dead
         ]
-        await asyncio.gather(*(self._crashed(name) for name in names))
+        await asyncio.gather(*(self._has_crashed(name) for name in names))
 
-    def _convicted(
+    def _conviction_error(
         self, request_id: str, verdict: quarantine_verdicts.Verdict
     ) -> errors.Quarantined:
         log_events.emit(
@@ -231,31 +241,33 @@
             ),
         )
 
-    def _losses(self, fingerprint: str) -> int:
+    def _crash_count(self, fingerprint: str) -> int:
         crashes = self.quarantine.counting(fingerprint)
         return len({crash.endpoint for crash in crashes})
 
-    def _note_passed(
-        self, fingerprint: str, place: _Place, is_ok: bool
+    def _note_progress(
+        self, fingerprint: str, place: _CrashPosition, is_ok: bool
     ) -> None:
-        failed = self._places.get(fingerprint)
+        failed = self._crash_positions.get(fingerprint)
         if failed is None or not is_ok:
             return
         if place.layer < failed.layer or place.position < failed.position:
             return
-        del self._places[fingerprint]
+        del self._crash_positions[fingerprint]
         self.quarantine.passed(fingerprint)
 
-    async def _crashed(self, endpoint: str) -> bool:
-        """Finds out, once for all calls that broke, whether it crashed."""
-        task = self._judging.get(endpoint)
+    async def _has_crashed(self, endpoint: str) -> bool:
+        """Checks for a crash; concurrent failed calls share one check."""
+        task = self._crash_checks.get(endpoint)
         if task is None:
-            task = asyncio.create_task(self._judge(endpoint))
-            self._judging[endpoint] = task
-            task.add_done_callback(lambda _: self._judging.pop(endpoint, None))
+            task = asyncio.create_task(self._check_crash(endpoint))
+            self._crash_checks[endpoint] = task
+            task.add_done_callback(
+                lambda _: self._crash_checks.pop(endpoint, None)
+            )
         return await asyncio.shield(task)
 
-    async def _judge(self, endpoint: str) -> bool:
+    async def _check_crash(self, endpoint: str) -> bool:
         known = self.directory.endpoints.get(endpoint)
         if known is None or not await self._is_dead(known):
             return False
@@ -264,34 +276,34 @@
         return True
 
     async def _is_dead(self, known: directory.Endpoint) -> bool:
-        """Returns whether the process is gone or is another one now.
+        """Returns whether the process is gone or was replaced by another.
 
-        A process that is just ending may still accept a connection and then
-        break it. Taken for alive, its loss would count against nobody, so
-        it is looked at again until it answers or refuses. One that takes a
-        connection and says nothing is frozen, or its link is: no crash, and
-        whoever waits for the judgement must not wait for it to thaw.
+        A terminating process may still accept a connection and then break
+        it. If that counted as alive, its crash would be attributed to no
+        request, so the check repeats until it answers or refuses. A process
+        that accepts a connection but sends nothing is frozen, or its link
+        is: that is no crash, and callers must not wait until it recovers.
         """
-        for _ in range(LOOKS):
+        for _ in range(MAX_CHECKS):
             if not await _accepts(known.vm.address):
                 return True
             if known.engine is None or known.description is None:
                 return False
             try:
-                async with asyncio.timeout(ANSWER_S):
+                async with asyncio.timeout(DESCRIBE_TIMEOUT_S):
                     answer = await known.engine.describe()
             except TimeoutError:
                 return False
             if answer.is_ok():
                 return answer.ok.instance != known.description.instance
-            await self.clock.sleep(LOOK_AGAIN_S)
+            await self.clock.sleep(CHECK_INTERVAL_S)
         return False
 
 
 async def _accepts(address: str) -> bool:
     host, _, port = address.rpartition(":")
     try:
-        async with asyncio.timeout(CONNECT_S):
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
             _, writer = await asyncio.open_connection(host, int(port))
     except TimeoutError:
         return True
@@ -326,9 +338,10 @@
     """Builds a guard.
 
     Args:
-        quarantine: This node's part of the quarantine.
+        quarantine: This node's quarantine state.
         known: The endpoints.
-        rank: This node's place among the live nodes for an endpoint, from 0.
+        rank: Returns this node's rank among the live nodes for an endpoint,
+            from 0.
         clock: Source of time.
     """
     return CrashGuard(quarantine, known, rank, clock)
--- a/src/almondshift/node/directory.py
+++ b/src/almondshift/node/directory.py
@@ -1,7 +1,7 @@
-"""The endpoints that a node knows, and its connections to them.
+"""The endpoints known to a node, and its connections to them.
 
-Watches the platform's list of VMs and the engines' own reports, keeps one
-engine client and one coalescer for each engine, and tells the router.
+Polls the platform's VM list and the engines' load reports, keeps one client
+and one coalescer for each engine, and notifies the router of changes.
 """
 
 from __future__ import annotations
@@ -33,34 +33,35 @@
 
 logger = logging.getLogger(__name__)
 
-JITTER = 0.2
-LIST_READS_S = 100.0
-"""Reads of the VM list a second by all nodes together, at most."""
+JITTER_RATIO = 0.2
+MAX_LIST_READS_PER_S = 100.0
+"""Limit for the reads of the VM list by all nodes together."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DirectorySettings:
-    """How often endpoints are asked.
+    """How often endpoints are polled.
 
     Attributes:
-        list_s: Seconds between reads of the VM list.
-        load_s: Least seconds between load reports of one engine.
-        ask_s: Least seconds between two questions to engines; with many
-            engines each is asked less often, so that the cost is bounded.
-        look_s: Least seconds between two looks at engines that peers
-            watch; each look only finds whether this node has to ask now.
-            820 engines looked at four times a second took an eighth of a
-            core.
-        forget_after: Reads of the list in a row without a VM after which
-            its endpoint is dropped.
+        list_interval_s: Minimum seconds between reads of the VM list.
+        load_interval_s: Minimum seconds between load queries to one engine.
+        engine_query_interval_s: Minimum average seconds between queries to
+            any engine; with many engines each is queried less often, which
+            bounds the cost.
+        watch_check_interval_s: Minimum average seconds between checks of
+            engines watched by peers. A check only finds out whether this
+            node has to query the engine now. Checking 820 engines four
+            times a second took an eighth of a core.
+        missing_reads_before_drop: Consecutive reads of the list without a
+            VM after which its endpoint is dropped.
         coalesce: Whether steps of many requests share a call.
     """
 
-    list_s: float = 0.5
-    load_s: float = 0.25
-    ask_s: float = 0.02
-    look_s: float = 0.005
-    forget_after: int = 2
+    list_interval_s: float = 0.5
+    load_interval_s: float = 0.25
+    engine_query_interval_s: float = 0.02
+    watch_check_interval_s: float = 0.005
+    missing_reads_before_drop: int = 2
     coalesce: bool = True
 
 
@@ -69,38 +70,38 @@
     """An endpoint as this node knows it.
 
     Attributes:
-        engine: Client, for engines.
-        calls: Coalescer, for engines that described themselves.
-        report: The newest load report seen here.
+        engine: Client; only for engines.
+        step_coalescer: Coalescer; only for engines with a description.
+        report: The newest load report received.
         reported_at: Monotonic time at which it was received.
-        is_told: Whether the router takes it for leaving.
-        missing: Reads of the VM list in a row without it.
-        watched: Whether this node asks the engine itself for its load.
+        router_told_leaving: Whether the router regards it as leaving.
+        missing_reads: Consecutive reads of the VM list without it.
+        watched: Whether this node queries the engine's load itself.
     """
 
     vm: endpoints.Vm
     engine: engines.Engine | None = None
-    calls: coalescer.Coalescer | None = None
+    step_coalescer: coalescer.Coalescer | None = None
     description: endpoints.EndpointDescription | None = None
     report: endpoints.LoadReport | None = None
     reported_at: float | None = None
-    is_told: bool = False
-    missing: int = 0
+    router_told_leaving: bool = False
+    missing_reads: int = 0
     watched: bool = True
     cache_sequence: int = 0
     watcher: asyncio.Task[None] | None = None
 
 
 class Directory:
-    """Endpoints by name.
+    """Tracks the endpoints and keeps the router up to date.
 
     Attributes:
-        endpoints: What is known now.
-        leaving: Which of them get no new work.
-        list_known: Whether the VM list was read at least once.
-        node_count: Says how many nodes read the VM list.
-        watches: Says which engines this node asks for their load; peers
-            tell of the others.
+        endpoints: The known endpoints, by name.
+        leaving: Tracks the endpoints that get no new work.
+        was_list_read: Whether the VM list was read at least once.
+        node_count: Returns how many nodes read the VM list.
+        watches: Returns whether this node queries the load of an engine;
+            peers publish the load of the others.
     """
 
     def __init__(
@@ -123,35 +124,35 @@
         self.rng = rng
         self.settings = settings
         self.endpoints: dict[str, Endpoint] = {}
-        self.list_known = False
+        self.was_list_read = False
         self.watches: Callable[[str], bool] = lambda _: True
         self.node_count: Callable[[], int] = lambda: 1
-        self._lister: asyncio.Task[None] | None = None
+        self._list_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Starts watching."""
+        """Starts polling."""
         self.driver.on_probe = self._probe
-        self._lister = asyncio.create_task(self._watch_list())
+        self._list_task = asyncio.create_task(self._watch_list())
 
     async def close(self) -> None:
-        """Stops watching and closes all connections."""
-        if self._lister is not None:
-            self._lister.cancel()
+        """Stops polling and closes all connections."""
+        if self._list_task is not None:
+            self._list_task.cancel()
         for name in list(self.endpoints):
             await self._drop(name)
 
-    def calls_to(self, endpoint: str) -> coalescer.Coalescer | None:
-        """Returns the way to an engine, or None if it is not known."""
+    def coalescer_for(self, endpoint: str) -> coalescer.Coalescer | None:
+        """Returns the coalescer of an engine, or None if it has none."""
         known = self.endpoints.get(endpoint)
-        return known.calls if known else None
+        return known.step_coalescer if known else None
 
     def engine(self, endpoint: str) -> engines.Engine | None:
-        """Returns the client of an engine, or None if it is not known."""
+        """Returns the client of an engine, or None if it has none."""
         known = self.endpoints.get(endpoint)
         return known.engine if known else None
 
     def address(self, endpoint: str) -> str | None:
-        """Returns the address of an endpoint, or None."""
+        """Returns the address of an endpoint, or None if it is not known."""
         known = self.endpoints.get(endpoint)
         return known.vm.address if known else None
 
@@ -162,7 +163,7 @@
         )
 
     def plain_ready(self) -> set[str]:
-        """Returns the plain services that have an endpoint to use."""
+        """Returns the plain services that have a usable endpoint."""
         return {
             known.vm.service
             for name, known in self.endpoints.items()
@@ -170,90 +171,98 @@
             and not self.leaving.is_leaving(name)
         }
 
-    def said_leaving(self, endpoint: str, instance: str = "") -> None:
-        """Takes an endpoint's own word that it is leaving."""
+    def endpoint_reported_leaving(
+        self, endpoint: str, instance: str = ""
+    ) -> None:
+        """Records that an endpoint itself reported that it is leaving."""
         self.leaving.endpoint_said(endpoint, instance)
-        self.tell_leaving()
+        self.notify_router_of_leaving()
 
-    def router_hears_leaving(self, endpoint: str) -> None:
-        """Notes that the router takes an endpoint for leaving by a move.
+    def note_move_from_leaving(self, endpoint: str) -> None:
+        """Records that a move makes the router regard an endpoint as leaving.
 
-        A move may be decided after the endpoint was found to stay; the
-        router would pass it over without end. The next look at the endpoint
-        tells the router that it stays.
+        A move may be decided after the endpoint was found to stay; without
+        this record the router would skip it for ever. The next sync of the
+        endpoint notifies the router that it stays.
         """
         known = self.endpoints.get(endpoint)
         if known is not None:
-            known.is_told = True
+            known.router_told_leaving = True
 
-    def tell_leaving(self) -> None:
-        """Tells the router of each endpoint that began to leave."""
+    def notify_router_of_leaving(self) -> None:
+        """Notifies the router of endpoints that started or stopped leaving."""
         for name, known in self.endpoints.items():
-            self._tell_change(name, known)
+            self._sync_leaving_state(name, known)
 
-    def _tell_change(self, name: str, known: Endpoint) -> None:
+    def _sync_leaving_state(self, name: str, known: Endpoint) -> None:
         leaving = self.leaving.is_leaving(name)
-        if leaving and not known.is_told:
-            self._tell_leaving(name)
-        elif known.is_told and not leaving:
-            self._tell_staying(name, known)
-        known.is_told = leaving
+        if leaving and not known.router_told_leaving:
+            self._notify_leaving(name)
+        elif known.router_told_leaving and not leaving:
+            self._notify_staying(name, known)
+        known.router_told_leaving = leaving
 
-    def _tell_leaving(self, name: str) -> None:
+    def _notify_leaving(self, name: str) -> None:
         log_events.emit(
             logger, log_events.EndpointLeaving(name, self.leaving.source(name))
         )
-        self.driver.tell(events.EndpointLeaving(self.clock.monotonic(), name))
+        self.driver.notify(events.EndpointLeaving(self.clock.monotonic(), name))
 
-    def _tell_staying(self, name: str, known: Endpoint) -> None:
-        """Tells the router that an endpoint stays after all."""
+    def _notify_staying(self, name: str, known: Endpoint) -> None:
+        """Notifies the router that an endpoint stays after all."""
         now = self.clock.monotonic()
-        self.driver.tell(events.EndpointGone(now, name))
-        self._tell_seen(known)
+        self.driver.notify(events.EndpointGone(now, name))
+        self._notify_seen(known)
         if known.report is not None:
-            self.driver.tell(events.LoadReported(now, known.report))
+            self.driver.notify(events.LoadReported(now, known.report))
 
     async def _watch_list(self) -> None:
         while True:
             try:
                 await self.refresh()
             except Exception:
-                logger.exception("reading the VM list failed")
-            await self._pause(self._list_pause_s())
+                logger.exception("failed to read the VM list")
+            await self._sleep_with_jitter(self._list_read_interval_s())
 
-    def _list_pause_s(self) -> float:
+    def _list_read_interval_s(self) -> float:
         """Returns the time to the next read of the VM list.
 
-        With many nodes each reads it less often, so that their reads do not
-        grow past a part of what the platform takes; a leaving endpoint is
-        told of by its own word and by peers meanwhile.
+        With many nodes each reads it less often, so that their reads use
+        only a part of the platform's capacity. Meanwhile a leaving endpoint
+        is announced by itself and by peers.
         """
-        return max(self.settings.list_s, self.node_count() / LIST_READS_S)
+        return max(
+            self.settings.list_interval_s,
+            self.node_count() / MAX_LIST_READS_PER_S,
+        )
 
     async def refresh(self) -> None:
-        """Reads the VM list once; while it is down, all stays as known."""
+        """Reads the VM list once; changes nothing if the read fails."""
         match await self.vm_list.list():
             case expression.Result(tag="ok", ok=vms):
-                await self._merge(vms)
-                self.list_known = True
+                await self._merge_list(vms)
+                self.was_list_read = True
             case _:
                 return
 
-    async def _merge(self, vms: list[endpoints.Vm]) -> None:
+    async def _merge_list(self, vms: list[endpoints.Vm]) -> None:
         seen = {vm.name for vm in vms}
         for vm in vms:
-            await self._see(vm)
+            await self._update_vm(vm)
         self.leaving.vms_listed(vms)
-        self.tell_leaving()
+        self.notify_router_of_leaving()
         for name in list(self.endpoints):
             if name in seen:
-                self.endpoints[name].missing = 0
+                self.endpoints[name].missing_reads = 0
                 continue
-            self.endpoints[name].missing += 1
-            if self.endpoints[name].missing >= self.settings.forget_after:
+            self.endpoints[name].missing_reads += 1
+            if (
+                self.endpoints[name].missing_reads
+                >= self.settings.missing_reads_before_drop
+            ):
                 await self._drop(name)
 
-    async def _see(self, vm: endpoints.Vm) -> None:
+    async def _update_vm(self, vm: endpoints.Vm) -> None:
         known = self.endpoints.get(vm.name)
         if known is not None and known.vm.address != vm.address:
             await self._drop(vm.name)
@@ -268,7 +277,7 @@
         self.endpoints[vm.name] = known
         if vm.state is endpoints.VmState.LEAVING:
             self.leaving.listed_leaving(vm.name)
-        self._tell_seen(known)
+        self._notify_seen(known)
         if vm.kind is not endpoints.EndpointKind.ENGINE:
             return
         known.engine = self.factory.build(vm.name, vm.address)
@@ -279,38 +288,38 @@
         known = self.endpoints.pop(name)
         if known.watcher is not None:
             known.watcher.cancel()
-        if known.calls is not None:
-            await known.calls.close()
+        if known.step_coalescer is not None:
+            await known.step_coalescer.close()
         if known.engine is not None:
             await known.engine.close()
         self.timeouts.forget(name)
         self.leaving.endpoint_gone(name)
-        self.driver.tell(events.EndpointGone(self.clock.monotonic(), name))
+        self.driver.notify(events.EndpointGone(self.clock.monotonic(), name))
 
-    def _tell_seen(self, known: Endpoint) -> None:
-        """Tells the router of an endpoint, leaving or not as known here.
+    def _notify_seen(self, known: Endpoint) -> None:
+        """Notifies the router of an endpoint, with the locally known state.
 
-        The row's own state is only the list's word, and may be of a former
-        instance. The router keeps what it was told of an instance: with the
-        row's state it refused callers for want of a whole chain, without
-        end, after an engine had come back while the list was behind.
+        The state in the VM list may belong to a former instance, and the
+        router keeps the state that it was given for an instance. With the
+        list's state it refused requests indefinitely for lack of a complete
+        chain after an engine came back while the list was outdated.
         """
         is_leaving = self.leaving.is_leaving(known.vm.name)
         states = endpoints.VmState
         state = states.LEAVING if is_leaving else states.LIVE
         vm = dataclasses.replace(known.vm, state=state)
         now = self.clock.monotonic()
-        self.driver.tell(events.EndpointSeen(now, vm, known.description))
+        self.driver.notify(events.EndpointSeen(now, vm, known.description))
 
     async def _watch_engine(self, known: Endpoint) -> None:
         while True:
             try:
-                await self._ask_engine(known)
+                await self._query_engine(known)
             except Exception:
-                logger.exception("watching %s failed", known.vm.name)
-            await self._pause(self._load_pause_s(known))
+                logger.exception("failed to query engine %s", known.vm.name)
+            await self._sleep_with_jitter(self._engine_query_interval_s(known))
 
-    async def _ask_engine(self, known: Endpoint) -> None:
+    async def _query_engine(self, known: Endpoint) -> None:
         engine = known.engine
         if engine is None:
             return
@@ -330,9 +339,11 @@
         match await engine.describe():
             case expression.Result(tag="ok", ok=description):
                 known.description = description
-                if known.calls is None:
-                    known.calls = await self._start_coalescer(known, engine)
-                self._tell_seen(known)
+                if known.step_coalescer is None:
+                    known.step_coalescer = await self._start_coalescer(
+                        known, engine
+                    )
+                self._notify_seen(known)
             case _:
                 return
 
@@ -365,7 +376,7 @@
         if timing.error:
             return
         self.timeouts.observe(known.vm.name, timing.seconds)
-        self.driver.tell(
+        self.driver.notify(
             events.CallTimed(
                 at=self.clock.monotonic(),
                 endpoint=known.vm.name,
@@ -390,13 +401,13 @@
             await self._describe(known, engine)
         known.report = report
         known.reported_at = self.clock.monotonic()
-        self._tell_change(known.vm.name, known)
-        self.driver.tell(events.LoadReported(self.clock.monotonic(), report))
+        self._sync_leaving_state(known.vm.name, known)
+        self.driver.notify(events.LoadReported(self.clock.monotonic(), report))
         if report.leaving:
-            self.said_leaving(known.vm.name, report.instance)
+            self.endpoint_reported_leaving(known.vm.name, report.instance)
 
     def take_peer_report(self, report: endpoints.LoadReport) -> None:
-        """Takes a report that a peer read."""
+        """Applies a load report published by a peer."""
         known = self.endpoints.get(report.endpoint)
         if known is None or known.watched:
             return
@@ -407,9 +418,9 @@
             return
         known.report = report
         known.reported_at = self.clock.monotonic()
-        self.driver.tell(events.LoadReported(self.clock.monotonic(), report))
+        self.driver.notify(events.LoadReported(self.clock.monotonic(), report))
         if report.leaving:
-            self.said_leaving(report.endpoint, report.instance)
+            self.endpoint_reported_leaving(report.endpoint, report.instance)
 
     async def _read_cache_events(
         self, known: Endpoint, engine: engines.Engine
@@ -417,7 +428,7 @@
         match await engine.cache_events(known.cache_sequence):
             case expression.Result(tag="ok", ok=fresh) if fresh:
                 known.cache_sequence = fresh[-1].sequence
-                self.driver.tell(
+                self.driver.notify(
                     events.CacheChanged(
                         self.clock.monotonic(), known.vm.name, tuple(fresh)
                     )
@@ -425,12 +436,15 @@
             case _:
                 return
 
-    def _load_pause_s(self, known: Endpoint) -> float:
+    def _engine_query_interval_s(self, known: Endpoint) -> float:
         if not known.watched and known.report is not None:
-            looks_s = len(self.endpoints) * self.settings.look_s
-            return max(self.settings.load_s, looks_s)
+            looks_s = len(self.endpoints) * self.settings.watch_check_interval_s
+            return max(self.settings.load_interval_s, looks_s)
         watched = sum(1 for e in self.endpoints.values() if e.watched)
-        return max(self.settings.load_s, watched * self.settings.ask_s)
+        return max(
+            self.settings.load_interval_s,
+            watched * self.settings.engine_query_interval_s,
+        )
 
     def _probe(self, endpoint: str) -> None:
         known = self.endpoints.get(endpoint)
@@ -443,17 +457,17 @@
         started = self.clock.monotonic()
         answer = await engine.describe()
         now = self.clock.monotonic()
-        self.driver.tell(
+        self.driver.notify(
             events.ProbeAnswered(
                 now, known.vm.name, answer.is_ok(), now - started
             )
         )
 
-    async def _pause(self, seconds: float) -> None:
-        spread = self.rng.uniform(1 - JITTER, 1 + JITTER)
+    async def _sleep_with_jitter(self, seconds: float) -> None:
+        spread = self.rng.uniform(1 - JITTER_RATIO, 1 + JITTER_RATIO)
         await self.clock.sleep(seconds * spread)
 
 
 def unreachable(endpoint: str) -> errors.EndpointUnreachable:
-    """Builds the error for an endpoint that this node doesn't know."""
+    """Returns the error for an endpoint that this node doesn't know."""
     return errors.EndpointUnreachable(f"Endpoint {endpoint} is not known.")
--- a/src/almondshift/node/entries.py
+++ b/src/almondshift/node/entries.py
@@ -1,4 +1,4 @@
-"""Which addresses callers are told to use."""
+"""Selects the node addresses that callers are told to use."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class EntryList:
-    """Lists this node and its peers for a client account.
+    """Lists the entry addresses of this node and its peers.
 
     Attributes:
         leaving: Whether this node is leaving.
@@ -43,7 +43,7 @@
         self.leaving = False
 
     def answer(self, account: str) -> gateway.Entries:
-        """Returns the addresses, for an account (``""`` if not known)."""
+        """Returns the addresses for an account (``""`` if not known)."""
         nodes = [self._own(), *self._peers()]
         zones = {node.address: node.zone for node in nodes}
         chosen = entries.entries_for(
@@ -90,10 +90,10 @@
 
 
 def _age_s(peer: peer_types.PeerInfo) -> float:
-    """Returns an age past the bound for suspects only.
+    """Returns an age beyond the staleness limit for suspects only.
 
-    How often a node is heard of grows with their number, so that the
-    membership's own judgement counts, not the seconds.
+    The time between heartbeats of a node depends on the number of nodes, so
+    the failure detection of the membership decides, not a number of seconds.
     """
     if peer.state is peer_types.PeerState.SUSPECT:
         return 2 * entries.STALE_S
--- a/src/almondshift/node/gateway.py
+++ b/src/almondshift/node/gateway.py
@@ -1,4 +1,4 @@
-"""The node towards callers: joins configuration, entries and services."""
+"""Serves callers from the node's configuration, entries and services."""
 
 from __future__ import annotations
 
@@ -29,11 +29,11 @@
 
 
 class NodeGateway(gateway.Gateway):
-    """Serves callers with what the node's parts know.
+    """Serves callers through the components of a node.
 
     Attributes:
-        expected_s: Returns how long an answer of a service with so many
-            tokens will most likely take; 0.0 while that is not known.
+        expected_s: Returns the expected seconds of an answer of a service
+            with a number of tokens; 0.0 while that is not known.
         current: The configuration in force.
         key_table: Bearer keys of ``current``.
     """
@@ -55,7 +55,9 @@
         self.expected_s = expected_s
         self.current: fleets.Fleet | None = None
         self.key_table: keys.KeyTable | None = None
-        self._cuts: dict[str, Callable[[errors.NodeLeaving], None]] = {}
+        self._cut_callbacks: dict[
+            str, Callable[[errors.NodeLeaving], None]
+        ] = {}
 
     def current_fleet(self) -> fleets.Fleet | None:
         """Returns the configuration in force."""
@@ -74,29 +76,31 @@
         wanted: gateway.Admission,
         cut: Callable[[errors.NodeLeaving], None],
     ) -> expression.Result[None, errors.NodeLeaving]:
-        """Takes a request, or refuses it and says where to go."""
+        """Admits a request, or refuses it and names other addresses."""
         taken = self.drain.begin(
             wanted.request_id,
             self.expected_s(wanted.service, wanted.tokens),
             wanted.deadline,
         )
         if taken.is_error():
-            return expression.Error(self._elsewhere(taken.error))
-        self._cuts[wanted.request_id] = cut
+            return expression.Error(self._with_other_addresses(taken.error))
+        self._cut_callbacks[wanted.request_id] = cut
         return taken
 
     def end(self, request_id: str) -> None:
-        """Notes that a request ended."""
-        self._cuts.pop(request_id, None)
+        """Records that a request ended."""
+        self._cut_callbacks.pop(request_id, None)
         self.drain.end(request_id)
 
     def cut(self, request_id: str, error: errors.AlmondshiftError) -> None:
-        """Gives a request its final error, since the node closes."""
-        cut = self._cuts.get(request_id)
+        """Ends a request with a final error because the node closes."""
+        cut = self._cut_callbacks.get(request_id)
         if cut is not None and isinstance(error, errors.NodeLeaving):
             cut(error)
 
-    def _elsewhere(self, error: errors.NodeLeaving) -> errors.NodeLeaving:
+    def _with_other_addresses(
+        self, error: errors.NodeLeaving
+    ) -> errors.NodeLeaving:
         found = self.entry_list.answer("").addresses
         names = ", ".join(entry.address for entry in found)
         if names:
@@ -110,7 +114,7 @@
     async def complete(
         self, request: requests.CompletionRequest
     ) -> expression.Result[gateway.CompletionStream, errors.AlmondshiftError]:
-        """Starts a completion, or finds its kept answer."""
+        """Starts a completion, or returns its stored result."""
         if request.idempotent:
             return await self._start(request)
         kept = await self.at_most_once.run(
@@ -119,11 +123,11 @@
             request.idempotency_key,
             kept_answers.fingerprint_body(request),
             request.deadline,
-            lambda: self._run_whole(request),
+            lambda: self._run_to_end(request),
         )
         match kept:
             case expression.Result(tag="ok", ok=result):
-                return kept_answers.read(request.request_id, result)
+                return kept_answers.to_stream(request.request_id, result)
             case expression.Result(error=error):
                 return expression.Error(error)
 
@@ -137,7 +141,7 @@
             case expression.Result(error=error):
                 return expression.Error(error)
 
-    async def _run_whole(
+    async def _run_to_end(
         self, request: requests.CompletionRequest
     ) -> expression.Result[claim_rows.StoredResult, errors.AlmondshiftError]:
         return await kept_answers.collect(await self._start(request))
@@ -165,7 +169,7 @@
         )
         match kept:
             case expression.Result(tag="ok", ok=result):
-                return expression.Ok(_answer(result))
+                return expression.Ok(_to_plain_answer(result))
             case expression.Result(error=error):
                 return expression.Error(error)
 
@@ -205,5 +209,7 @@
     )
 
 
-def _answer(kept: claim_rows.StoredResult) -> plain_services.PlainAnswer:
+def _to_plain_answer(
+    kept: claim_rows.StoredResult,
+) -> plain_services.PlainAnswer:
     return plain_services.PlainAnswer(kept.status, kept.content_type, kept.body)
--- a/src/almondshift/node/kept_answers.py
+++ b/src/almondshift/node/kept_answers.py
@@ -1,4 +1,7 @@
-"""Completions of non-idempotent services: run once, kept, then sent."""
+"""Stores completions of non-idempotent services and replays them.
+
+Such a completion runs to its end and is stored before any token is sent.
+"""
 
 from __future__ import annotations
 
@@ -22,38 +25,38 @@
 CONTENT_TYPE = "application/json"
 
 
-class KeptStream(gateway.CompletionStream):
-    """The tokens of an answer that is whole already."""
+class StoredStream(gateway.CompletionStream):
+    """Streams the tokens of a stored completion."""
 
     def __init__(self, request_id: str, tokens: list[int]) -> None:
         self.request_id = request_id
         self.kept = tokens
 
     async def tokens(self) -> AsyncGenerator[int]:
-        """Yields the kept tokens."""
+        """Yields the stored tokens."""
         for token in self.kept:
             yield token
 
     def close(self) -> None:
-        """Does nothing: there is no work to drop."""
+        """Does nothing: there is no work to cancel."""
 
     def execution(self) -> errors.Execution:
-        """Returns that it ran."""
+        """Returns ``RAN``."""
         return errors.Execution.RAN
 
     def chain(self) -> chains.Chain | None:
-        """Returns None: the chain is not kept."""
+        """Returns None: the chain is not stored."""
         return None
 
     def summary(self) -> completions.CompletionSummary:
-        """Returns the count of tokens, without timings."""
+        """Returns the number of tokens, without timings."""
         return completions.CompletionSummary(
             self.request_id, len(self.kept), (), ()
         )
 
 
 def fingerprint_body(request: completions.CompletionRequest) -> bytes:
-    """Returns what a repeat must have in common; not how it is sent."""
+    """Returns the content that a retry must match, without stream options."""
     parts = [request.service, list(request.prompt), request.max_tokens]
     return json.dumps(parts).encode()
 
@@ -63,7 +66,7 @@
         gateway.CompletionStream, errors.AlmondshiftError
     ],
 ) -> expression.Result[claim_rows.StoredResult, errors.AlmondshiftError]:
-    """Runs a started completion to its end and returns it for keeping."""
+    """Runs a started completion to its end and returns it for storage."""
     match started:
         case expression.Result(tag="ok", ok=stream):
             pass
@@ -78,13 +81,13 @@
     return expression.Ok(claim_rows.StoredResult(OK, CONTENT_TYPE, body))
 
 
-def read(
+def to_stream(
     request_id: str, kept: claim_rows.StoredResult
 ) -> expression.Result[gateway.CompletionStream, errors.AlmondshiftError]:
-    """Returns a kept answer as a stream, or the failure that was kept."""
+    """Returns a stored completion as a stream, or the stored failure."""
     content = json.loads(kept.body)
     if kept.status == OK:
-        return expression.Ok(KeptStream(request_id, content["tokens"]))
+        return expression.Ok(StoredStream(request_id, content["tokens"]))
     return expression.Error(
         errors.OutcomeUnknown(
             f"An earlier request with this key failed: {content['detail']}",
--- a/src/almondshift/node/kept_inputs.py
+++ b/src/almondshift/node/kept_inputs.py
@@ -1,4 +1,4 @@
-"""A bound on the memory that kept stage inputs take on a node."""
+"""Limits the memory that a node uses for kept stage inputs."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 
 @dataclasses.dataclass(slots=True)
-class KeptInputs:
-    """Counts the bytes that running requests keep for replay.
+class KeptInputsBudget:
+    """Memory budget for the inputs that running requests keep for replay.
 
     A stage whose inputs don't fit keeps none; its recovery then replays from
-    an earlier stage, at the latest from the tokens.
+    an earlier stage, in the worst case from the tokens.
 
     Attributes:
-        limit_bytes: Bytes that may be kept in all.
+        limit_bytes: Maximum bytes to keep.
         bytes_per_input: Size of one activation.
         used_bytes: Bytes kept now.
-        dropped: Times that a stage lost its inputs for lack of room.
+        dropped: Number of reservations that exceeded the budget.
     """
 
     limit_bytes: int
@@ -25,7 +25,7 @@
     dropped: int = 0
 
     def reserve(self, inputs: int) -> bool:
-        """Takes room for a number of inputs; false if there is none."""
+        """Reserves memory for inputs; returns False if they don't fit."""
         wanted = inputs * self.bytes_per_input
         if self.used_bytes + wanted > self.limit_bytes:
             self.dropped += 1
@@ -34,12 +34,12 @@
         return True
 
     def release(self, inputs: int) -> None:
-        """Gives room back."""
+        """Releases the memory of a number of inputs."""
         self.used_bytes -= inputs * self.bytes_per_input
 
 
-def create_kept_inputs(
+def create_kept_inputs_budget(
     limit_bytes: int, bytes_per_input: int = 8
-) -> KeptInputs:
+) -> KeptInputsBudget:
     """Builds an empty budget."""
-    return KeptInputs(limit_bytes, bytes_per_input)
+    return KeptInputsBudget(limit_bytes, bytes_per_input)
--- a/src/almondshift/node/load_exchange.py
+++ b/src/almondshift/node/load_exchange.py
@@ -1,13 +1,14 @@
-"""Shares engines' load reports and accounts' use between nodes.
+"""Shares load reports of engines and usage of accounts between nodes.
 
 Each engine is watched by a few nodes, chosen by rendezvous hashing, and the
-first of them tells the others. If every node asked every engine itself, 390
+first of them publishes its load. If every node queried every engine, 390
 nodes would ask each of 820 engines 390 times for the same report.
 
-What an engine is (instance, role, holdings) changes seldom and is a fact of
-its own. Its numbers change all the time; those of all engines that a node
-tells of go as rows of one fact, with the use of accounts. With a fact for
-each report, 820 engines did not fit through the exchange of 390 nodes.
+The state of an engine (instance, role, holdings) changes rarely and is a
+separate fact. Its counts (sessions, queued items) change all the time; a node
+publishes those of all its engines as rows of one usage fact, together with
+the usage of accounts. With one fact for each report, the reports of 820
+engines exceeded the capacity of the exchange between 390 nodes.
 """
 
 from __future__ import annotations
@@ -39,63 +40,64 @@
     from almondshift.node import usage
     from almondshift.ports import clocks
 
-WATCHERS = 3
-PUBLISH_S = 1.0
-USES_PER_S = 20.0
-VALUE_BYTES_PER_S = 9_000.0
-LEAST_VALUE_BYTES = 200
-"""Facts of use, and bytes of them, a second in the whole system. With more
-nodes each states its own less often and shorter, so that what a node takes
-in stays constant; else loads queue behind each other and are old when they
-arrive. Loads of two or three engines and some rows of use fit into the
-least."""
-
-USE_TTL_S = 10.0
-USES_MISSED = 4
+WATCHERS_PER_ENGINE = 3
+PUBLISH_INTERVAL_S = 1.0
+MAX_USE_FACTS_PER_S = 20.0
+MAX_USE_BYTES_PER_S = 9_000.0
+MIN_VALUE_BYTES = 200
+"""Limits for the rate and the bytes of usage facts from all nodes together.
+
+With more nodes each publishes less often and shorter facts, so that the
+inbound rate of a node stays constant; otherwise loads queue up and are
+outdated on arrival. The minimum size holds the loads of two or three engines
+and some usage entries."""
+
+MIN_USE_TTL_S = 10.0
+USE_TTL_INTERVALS = 4
 STATE_TTL_S = 900.0
-REPEAT_S = 300.0
-SETTLE_S = 3.0
-"""Time after the start without states: a node that knows no peer yet would
-take itself for the first watcher of all 820 engines and tell of each."""
+STATE_REPUBLISH_INTERVAL_S = 300.0
+STATE_PUBLISH_DELAY_S = 3.0
+"""A node that knows no peer yet would consider itself the first watcher of
+all 820 engines and publish each of them."""
 
-ALIVE_S = 0.5
-MAX_ROWS = 20
+ALIVE_REFRESH_INTERVAL_S = 0.5
+MAX_USE_ENTRIES = 20
 MAX_VALUE_BYTES = peer_types.MembershipSettings().max_value_bytes
-LOADS_SHARE = 0.5
-"""Most of the bytes that go to loads; what they leave is for use."""
+MAX_LOADS_SHARE = 0.5
+"""Maximum share of a usage fact for loads; the rest is for account usage."""
 
 logger = logging.getLogger(__name__)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Told:
-    """What was told of an engine, and when."""
+class _Published:
+    """The last published report of an engine."""
 
     at: float
     report: endpoints.LoadReport
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _HeardState:
-    """A state that a peer told; its numbers were measured at ``at``."""
+class _ReceivedState:
+    """A state published by a peer; its counts were measured at ``at``."""
 
     at: float
     report: endpoints.LoadReport
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _HeardRow:
-    """Numbers that a peer told, measured at ``at``."""
+class _ReceivedRow:
+    """Counts published by a peer, measured at ``at``."""
 
     at: float
     row: load_rows.LoadRow
 
 
 class LoadExchange:
-    """Publishes what this node watches and uses; takes what peers tell.
+    """Publishes the load seen by this node and applies what peers publish.
 
     Attributes:
-        peer_loads: How full each peer says it is, 1.0 when it refuses.
+        peer_loads: Load of each peer, 1.0 if it refuses requests.
     """
 
     def __init__(
@@ -114,90 +116,97 @@
         self.clock = clock
         self.rng = rng
         self.peer_loads: dict[str, float] = {}
-        self._told_states: dict[str, _Told] = {}
-        self._told_numbers: dict[str, _Told] = {}
-        self._states: dict[str, _HeardState] = {}
-        self._rows: dict[str, _HeardRow] = {}
+        self._published_states: dict[str, _Published] = {}
+        self._published_counts: dict[str, _Published] = {}
+        self._states: dict[str, _ReceivedState] = {}
+        self._rows: dict[str, _ReceivedRow] = {}
         self._alive: frozenset[str] = frozenset()
-        self._alive_at = float("-inf")
+        self._alive_refreshed_at = float("-inf")
         self._ranks: dict[str, int] = {}
-        self._use_at = float("-inf")
-        self._settled_at = float("-inf")
+        self._use_published_at = float("-inf")
+        self._publish_states_from = float("-inf")
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Starts to tell and to listen."""
+        """Starts to publish and to listen."""
         self.listen()
-        self._settled_at = self.clock.monotonic() + SETTLE_S
+        self._publish_states_from = (
+            self.clock.monotonic() + STATE_PUBLISH_DELAY_S
+        )
         self._task = asyncio.create_task(self._run())
 
     def listen(self) -> None:
-        """Takes what peers told and will tell."""
+        """Subscribes to the facts of peers, including those already known."""
         state_kind = peers.FactKind.ENGINE_LOAD
-        self.membership.subscribe(state_kind, self._heard_report)
-        self.membership.subscribe(peers.FactKind.ACCOUNT_USE, self._heard_use)
-        # A state that came before this is not told again for minutes.
+        self.membership.subscribe(state_kind, self._on_state_fact)
+        self.membership.subscribe(peers.FactKind.ACCOUNT_USE, self._on_use_fact)
+        # A state received earlier is not published again for minutes.
         for key, fact in self.membership.facts(state_kind).items():
             self.membership.tell(state_kind, key, fact)
 
     async def close(self) -> None:
-        """Stops telling."""
+        """Stops publishing."""
         if self._task is not None:
             self._task.cancel()
 
     def watches(self, engine: str) -> bool:
-        """Returns whether this node asks an engine itself."""
-        return self.rank(engine) < WATCHERS
+        """Returns whether this node queries the load of an engine itself."""
+        return self.rank(engine) < WATCHERS_PER_ENGINE
 
     def rank(self, engine: str) -> int:
-        """Returns this node's place among the live nodes for an engine.
+        """Returns this node's rank among the live nodes for an engine.
 
-        All nodes compute the same order, as far as they know the same
-        nodes, and each engine has an order of its own. Places are kept
-        until the live nodes change: computed for each of 820 engines four
-        times a second among 390 nodes, they took more than a core.
+        All nodes that know the same nodes compute the same order, which
+        differs by engine. Ranks are cached until the live nodes change:
+        computing them for 820 engines among 390 nodes four times a second
+        took more than a core.
         """
         self._refresh_alive()
         known = self._ranks.get(engine)
         if known is None:
-            known = self._before(self._alive, engine)
+            known = self._count_before(self._alive, engine)
             self._ranks[engine] = known
         return known
 
-    def use_s(self) -> float:
-        """Returns the seconds between two statements of use."""
-        return max(PUBLISH_S, (len(self._alive) + 1) / USES_PER_S)
+    def use_interval_s(self) -> float:
+        """Returns the seconds between two usage facts of this node."""
+        return max(
+            PUBLISH_INTERVAL_S, (len(self._alive) + 1) / MAX_USE_FACTS_PER_S
+        )
 
-    def value_bytes(self) -> int:
-        """Returns the bytes that a statement of use may have now."""
-        each = int(VALUE_BYTES_PER_S / (len(self._alive) + 1))
-        return min(MAX_VALUE_BYTES, max(LEAST_VALUE_BYTES, each))
+    def max_value_bytes_now(self) -> int:
+        """Returns the size limit of a usage fact for the current node count."""
+        each = int(MAX_USE_BYTES_PER_S / (len(self._alive) + 1))
+        return min(MAX_VALUE_BYTES, max(MIN_VALUE_BYTES, each))
 
     def publish(self) -> None:
-        """States what is due; a failure in one part leaves the other."""
+        """Publishes the facts that are due; a failed one skips no other."""
         now = self.clock.monotonic()
-        if now - self._use_at >= self.use_s() - PUBLISH_S / 2:
-            self._use_at = now
+        if (
+            now - self._use_published_at
+            >= self.use_interval_s() - PUBLISH_INTERVAL_S / 2
+        ):
+            self._use_published_at = now
             try:
                 self._publish_use()
             except Exception:
-                logger.exception("publishing use failed")
+                logger.exception("failed to publish usage")
         self._publish_reports()
 
     async def _run(self) -> None:
         while True:
             spread = self.rng.uniform(0.8, 1.2)
-            await self.clock.sleep(PUBLISH_S * spread)
+            await self.clock.sleep(PUBLISH_INTERVAL_S * spread)
             try:
                 self.publish()
             except Exception:
-                logger.exception("publishing load failed")
+                logger.exception("failed to publish loads")
 
     def _refresh_alive(self) -> None:
         now = self.clock.monotonic()
-        if now - self._alive_at < ALIVE_S:
+        if now - self._alive_refreshed_at < ALIVE_REFRESH_INTERVAL_S:
             return
-        self._alive_at = now
+        self._alive_refreshed_at = now
         alive = frozenset(
             peer.name
             for peer in self.membership.peers()
@@ -208,22 +217,25 @@
         if not came and not went:
             return
         for engine in self._ranks:
-            change = self._before(came, engine) - self._before(went, engine)
+            change = self._count_before(came, engine) - self._count_before(
+                went, engine
+            )
             self._ranks[engine] += change
 
-    def _before(self, names: frozenset[str], engine: str) -> int:
-        """Returns how many of these nodes stand before this one."""
+    def _count_before(self, names: frozenset[str], engine: str) -> int:
+        """Returns how many of these nodes rank before this one."""
         own = _score(self.membership.node.name, engine)
         return sum(_score(name, engine) > own for name in names)
 
     def _own_reports(self) -> list[endpoints.LoadReport]:
-        """Returns the reports that this node tells of, with their age now.
+        """Returns the reports that this node publishes, with current ages.
 
-        Only the first watcher tells; when it is gone the next is the first.
+        Only the first watcher of an engine publishes; when it fails, the
+        next one becomes the first.
         """
         now = self.clock.monotonic()
         return [
-            _aged(known.report, now, known.reported_at)
+            _with_held_time(known.report, now, known.reported_at)
             for name, known in self.directory.endpoints.items()
             if known.report is not None
             and known.watched
@@ -231,78 +243,80 @@
         ]
 
     def _publish_use(self) -> None:
-        ttl_s = max(USE_TTL_S, USES_MISSED * self.use_s())
-        most_bytes = self.value_bytes()
-        loads_bytes = int(LOADS_SHARE * most_bytes)
+        ttl_s = max(MIN_USE_TTL_S, USE_TTL_INTERVALS * self.use_interval_s())
+        max_bytes = self.max_value_bytes_now()
+        loads_bytes = int(MAX_LOADS_SHARE * max_bytes)
         rows = load_rows.fitting(self._rows_by_change(), loads_bytes)
-        self._note_numbers(rows)
+        self._record_published_counts(rows)
         self.membership.publish(
             peers.FactKind.ACCOUNT_USE,
             self.membership.node.name,
-            self._use_value(ttl_s, rows, most_bytes),
+            self._use_value(ttl_s, rows, max_bytes),
             ttl_s,
         )
 
     def _use_value(
-        self, ttl_s: float, rows: list[load_rows.LoadRow], most_bytes: int
+        self, ttl_s: float, rows: list[load_rows.LoadRow], max_bytes: int
     ) -> bytes:
-        """Returns the rows and as much of the use of accounts as fits."""
+        """Encodes the rows and as much of the account usage as fits."""
         now = self.clock.monotonic()
         rates = sorted(self.meter.rates(now).items(), key=lambda row: -row[1])
         loads = msgspec.to_builtins(rows)
         encoded = b""
-        for most in range(MAX_ROWS, -1, -1):
+        for max_entries in range(MAX_USE_ENTRIES, -1, -1):
             parts = {
                 "load": self.meter.load(now),
                 "ttl_s": round(ttl_s, 1),
-                "in_flight": dict(self.meter.in_flight.most_common(most)),
-                "use": {name: round(r, 1) for name, r in rates[:most]},
+                "in_flight": dict(
+                    self.meter.in_flight.most_common(max_entries)
+                ),
+                "use": {name: round(r, 1) for name, r in rates[:max_entries]},
                 "loads": loads,
             }
             filled = {name: part for name, part in parts.items() if part}
             encoded = load_rows.encode(filled)
-            if len(encoded) <= most_bytes:
+            if len(encoded) <= max_bytes:
                 break
         return encoded
 
     def _rows_by_change(self) -> list[load_rows.LoadRow]:
-        """Returns numbers, most changed first, then longest not told."""
+        """Returns rows, most changed first, then least recently published."""
         reports = self._own_reports()
         reports.sort(key=self._urgency)
         return [load_rows.row_of(report) for report in reports]
 
     def _urgency(self, report: endpoints.LoadReport) -> tuple[float, float]:
-        told = self._told_numbers.get(report.endpoint)
+        told = self._published_counts.get(report.endpoint)
         if told is None or told.report.instance != report.instance:
             return (float("-inf"), 0.0)
         change = abs(report.sessions - told.report.sessions)
         change += abs(report.queued_items - told.report.queued_items)
         return (-change, told.at)
 
-    def _note_numbers(self, rows: list[load_rows.LoadRow]) -> None:
+    def _record_published_counts(self, rows: list[load_rows.LoadRow]) -> None:
         now = self.clock.monotonic()
         names = {row.endpoint for row in rows}
         known = self.directory.endpoints
-        kept = {n: t for n, t in self._told_numbers.items() if n in known}
+        kept = {n: t for n, t in self._published_counts.items() if n in known}
         for name in names:
             report = known[name].report
             if report is not None:
-                kept[name] = _Told(now, report)
-        self._told_numbers = kept
+                kept[name] = _Published(now, report)
+        self._published_counts = kept
 
     def _publish_reports(self) -> None:
         now = self.clock.monotonic()
-        if now < self._settled_at:
+        if now < self._publish_states_from:
             return
         own = {report.endpoint: report for report in self._own_reports()}
-        # What another watcher told meanwhile stands over what this node
-        # told earlier, so that is no longer what the others know.
-        kept = {n: t for n, t in self._told_states.items() if n in own}
-        self._told_states = kept
+        # Forgets engines that another node publishes now: its states have
+        # replaced those that this node published earlier.
+        kept = {n: t for n, t in self._published_states.items() if n in own}
+        self._published_states = kept
         for name, report in own.items():
-            if not self._is_news(name, report, now):
+            if not self._is_state_due(name, report, now):
                 continue
-            self._told_states[name] = _Told(now, report)
+            self._published_states[name] = _Published(now, report)
             self._publish_state(name, report)
 
     def _publish_state(self, name: str, report: endpoints.LoadReport) -> None:
@@ -314,37 +328,37 @@
                 STATE_TTL_S,
             )
         except Exception:
-            logger.exception("publishing the state of %s failed", name)
+            logger.exception("failed to publish the state of %s", name)
 
-    def _is_news(
+    def _is_state_due(
         self, name: str, report: endpoints.LoadReport, now: float
     ) -> bool:
-        last = self._told_states.get(name)
-        if last is None or now - last.at >= REPEAT_S:
+        last = self._published_states.get(name)
+        if last is None or now - last.at >= STATE_REPUBLISH_INTERVAL_S:
             return True
-        return _state(last.report) != _state(report)
+        return _state_key(last.report) != _state_key(report)
 
-    def _heard_report(self, key: str, fact: peers.Fact | None) -> None:
+    def _on_state_fact(self, key: str, fact: peers.Fact | None) -> None:
         if fact is None:
             self._states.pop(key, None)
             self._rows.pop(key, None)
             return
-        # Own states count too: a node that told of an engine and is no
-        # longer its watcher joins the numbers of the next one to it.
+        # Own states are stored too: after a change of the first watcher,
+        # this node merges the counts of the new one into its own state.
         report = engine_messages.decode_load(fact.value)
         now = self.clock.monotonic()
-        on_the_way_s = max(0.0, STATE_TTL_S - fact.ttl_s)
-        at = now - on_the_way_s - report.age_s
-        self._states[key] = _HeardState(at, report)
-        self._tell_report(key)
+        transit_s = max(0.0, STATE_TTL_S - fact.ttl_s)
+        at = now - transit_s - report.age_s
+        self._states[key] = _ReceivedState(at, report)
+        self._apply_report(key)
 
-    def _heard_use(self, key: str, fact: peers.Fact | None) -> None:
+    def _on_use_fact(self, key: str, fact: peers.Fact | None) -> None:
         now = self.clock.monotonic()
         if key == self.membership.node.name:
             return
         if fact is None:
             self.peer_loads.pop(key, None)
-            self.driver.tell(events.PeerGone(now, key))
+            self.driver.notify(events.PeerGone(now, key))
             return
         value = json.loads(fact.value)
         self.peer_loads[key] = _number(value.get("load")) or 0.0
@@ -353,32 +367,32 @@
             for name, count in _numbers(value.get("in_flight")).items()
         }
         used = _numbers(value.get("use"))
-        self.driver.tell(events.PeerLoad(now, key, in_flight, used))
-        ttl_s = _number(value.get("ttl_s")) or USE_TTL_S
-        on_the_way_s = max(0.0, ttl_s - fact.ttl_s)
+        self.driver.notify(events.PeerLoad(now, key, in_flight, used))
+        ttl_s = _number(value.get("ttl_s")) or MIN_USE_TTL_S
+        transit_s = max(0.0, ttl_s - fact.ttl_s)
         for row in load_rows.decode(value.get("loads")):
-            self._heard_row(row, now - on_the_way_s - row.age_s)
+            self._merge_row(row, now - transit_s - row.age_s)
 
-    def _heard_row(self, row: load_rows.LoadRow, at: float) -> None:
-        held = self._rows.get(row.endpoint)
-        if held is not None and held.at >= at:
+    def _merge_row(self, row: load_rows.LoadRow, at: float) -> None:
+        received = self._rows.get(row.endpoint)
+        if received is not None and received.at >= at:
             return
         if row.endpoint not in self.directory.endpoints:
             return
-        self._rows[row.endpoint] = _HeardRow(at, row)
+        self._rows[row.endpoint] = _ReceivedRow(at, row)
         try:
-            self._tell_report(row.endpoint)
+            self._apply_report(row.endpoint)
         except Exception:
-            logger.exception("taking the load of %s failed", row.endpoint)
+            logger.exception("failed to apply the load of %s", row.endpoint)
 
-    def _tell_report(self, name: str) -> None:
-        """Joins state and numbers, whichever came last."""
+    def _apply_report(self, name: str) -> None:
+        """Applies the state of an engine, merged with its newest counts."""
         state = self._states.get(name)
         if state is None:
             return
         report, at = state.report, state.at
         heard = self._rows.get(name)
-        if heard is not None and _belongs(heard, state):
+        if heard is not None and _is_newer(heard, state):
             at = heard.at
             report = dataclasses.replace(
                 report,
@@ -391,16 +405,16 @@
         )
 
 
-def _belongs(heard: _HeardRow, state: _HeardState) -> bool:
-    """Returns whether numbers are newer, and of the same instance."""
+def _is_newer(heard: _ReceivedRow, state: _ReceivedState) -> bool:
+    """Returns whether counts are newer than a state of the same instance."""
     is_same = heard.row.tag == load_rows.tag_of(state.report.instance)
     return is_same and heard.at > state.at
 
 
-def _aged(
+def _with_held_time(
     report: endpoints.LoadReport, now: float, received_at: float | None
 ) -> endpoints.LoadReport:
-    """Returns a report with the time since it was received in its age."""
+    """Returns a report whose age includes the time since its reception."""
     if received_at is None:
         return report
     held_s = max(0.0, now - received_at)
@@ -408,21 +422,21 @@
 
 
 def _number(value: Any) -> float | None:
-    """Returns a finite number that is not negative, else None."""
+    """Returns a finite, non-negative number, else None."""
     if isinstance(value, bool) or not isinstance(value, int | float):
         return None
     return float(value) if math.isfinite(value) and value >= 0 else None
 
 
 def _numbers(value: Any) -> dict[str, float]:
-    """Returns the entries of a map that are numbers."""
+    """Returns the entries of a mapping whose values are valid numbers."""
     if not isinstance(value, dict):
         return {}
     found = {name: _number(count) for name, count in value.items()}
     return {name: count for name, count in found.items() if count is not None}
 
 
-def _state(report: endpoints.LoadReport) -> tuple[object, ...]:
+def _state_key(report: endpoints.LoadReport) -> tuple[object, ...]:
     return (
         report.instance,
         report.role,
@@ -444,5 +458,5 @@
     clock: clocks.Clock,
     rng: random.Random,
 ) -> LoadExchange:
-    """Builds the exchange; not started yet."""
+    """Builds the exchange without starting it."""
     return LoadExchange(membership, known, driver, meter, clock, rng)
--- a/src/almondshift/node/load_rows.py
+++ b/src/almondshift/node/load_rows.py
@@ -1,7 +1,7 @@
-"""The changing numbers of engines' loads in a compact form.
+"""Compact encoding of the frequently changing counts of engine loads.
 
-A row is a JSON array of about 30 bytes, so that the numbers of all engines
-that a node publishes travel in one fact beside its accounts' use.
+A row is a JSON array of about 30 bytes, so that the counts of all engines
+that a node publishes fit into one fact together with its account usage.
 """
 
 from __future__ import annotations
@@ -24,14 +24,14 @@
 
 
 class LoadRow(msgspec.Struct, array_like=True, frozen=True):
-    """The numbers of one engine.
+    """The counts of one engine.
 
     Attributes:
         endpoint: Name of the engine.
-        tag: Short digest of its instance, so that numbers of a former
-            instance are not joined to the state of the present one.
+        tag: Short digest of its instance, so that counts of a former
+            instance are not merged into the state of the present one.
         sessions: Sessions in its memory.
-        queued_items: Items that wait in it.
+        queued_items: Items in its queue.
         age_s: Seconds since the engine reported them.
     """
 
@@ -48,7 +48,7 @@
 
 
 def row_of(report: endpoints.LoadReport) -> LoadRow:
-    """Returns the numbers of a report, with the age that it states."""
+    """Returns the counts of a report, with the age stated in it."""
     return LoadRow(
         report.endpoint,
         tag_of(report.instance),
@@ -63,10 +63,10 @@
     return json.dumps(value, separators=(",", ":")).encode()
 
 
-def fitting(rows: Iterable[LoadRow], most_bytes: int) -> list[LoadRow]:
-    """Returns the first rows that fit into so many bytes of JSON."""
+def fitting(rows: Iterable[LoadRow], max_bytes: int) -> list[LoadRow]:
+    """Returns the first rows that fit into ``max_bytes`` of JSON."""
     found: list[LoadRow] = []
-    left = most_bytes
+    left = max_bytes
     for row in rows:
         left -= len(encode(msgspec.to_builtins(row))) + 1
         if left < 0:
@@ -76,10 +76,10 @@
 
 
 def decode(rows: Any) -> list[LoadRow]:
-    """Returns the rows that make sense.
+    """Returns the valid rows.
 
-    One bad row must not take the others with it: they may come from a node
-    of another version, and the loads of its other engines would get old.
+    An invalid row, perhaps from a node of another version, must not discard
+    the others, or the loads of its other engines would become stale.
     """
     if not isinstance(rows, list):
         return []
--- a/src/almondshift/node/objectives.py
+++ b/src/almondshift/node/objectives.py
@@ -1,7 +1,7 @@
-"""Counts of met and missed objectives over sliding windows.
+"""Counts met and missed objectives over sliding windows.
 
-Kept in memory only: a node that is replaced starts anew, and the report on
-burn says how far each node's counts go back.
+The counts are kept in memory only: a replaced node starts from zero, and the
+burn report states how far each node's counts go back.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 
 FINE_BUCKET_S = 60.0
 FINE_BUCKETS = 61
-"""One hour, and the bucket that is being filled."""
+"""One hour, plus the bucket that is being filled."""
 
 COARSE_BUCKET_S = 3600.0
 COARSE_BUCKETS = 73
-"""Three days, and the bucket that is being filled."""
+"""Three days, plus the bucket that is being filled."""
 
 MAX_KEYS = 512
-"""Keys in a bucket: some 35 client accounts with 15 keys each."""
+"""Maximum keys in a bucket: about 35 client accounts with 15 keys each."""
 
 OTHER = "other"
 SLOW = "slow"
@@ -38,7 +38,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Bucket:
-    """Counts of one span of time; ``index`` numbers the spans."""
+    """Counts of one time span; ``index`` is the number of the span."""
 
     index: int
     counts: collections.Counter[Key] = dataclasses.field(
@@ -46,7 +46,7 @@
     )
 
     def add(self, key: Key, count: int) -> None:
-        """Adds to a key, or past ``MAX_KEYS`` to the account ``other``."""
+        """Adds to a key; beyond ``MAX_KEYS``, to the account ``other``."""
         if key not in self.counts and len(self.counts) >= MAX_KEYS:
             service, _, objective, cause = key
             key = (service, OTHER, objective, cause)
@@ -54,7 +54,10 @@
 
 
 class Ring:
-    """The newest buckets of one width; a window may reach back one more."""
+    """The newest buckets of one width.
+
+    A window may overlap one bucket more than its length.
+    """
 
     def __init__(self, bucket_s: float, buckets: int) -> None:
         self.bucket_s = bucket_s
@@ -63,14 +66,14 @@
         )
 
     def at(self, now: float) -> Bucket:
-        """Returns the bucket of ``now``, which never goes back."""
+        """Returns the bucket of ``now``, which must not decrease."""
         index = int(now // self.bucket_s)
         if not self.buckets or self.buckets[-1].index < index:
             self.buckets.append(Bucket(index))
         return self.buckets[-1]
 
     def since(self, now: float, seconds: float) -> Iterator[Bucket]:
-        """Yields the buckets that touch the last ``seconds``."""
+        """Yields the buckets that overlap the last ``seconds``."""
         first = int((now - seconds) // self.bucket_s)
         return (b for b in self.buckets if b.index >= first)
 
@@ -88,15 +91,16 @@
         self.open: Bucket | None = None
 
     def use(self, described: fleet.Fleet) -> None:
-        """Takes the objectives of a configuration, for events from now."""
+        """Applies the objectives of a configuration to future events."""
         services = described.services.values()
         self.objectives = {s.name: s.objectives for s in services}
         self.model_services = frozenset(s.name for s in services if s.model)
 
     def record_whole(self, service: str, account: str, cause: str = "") -> None:
-        """Counts a request; ``cause`` is empty if answered whole.
+        """Counts a request; ``cause`` is empty if it was answered completely.
 
-        Leave out what is the caller's own doing, such as a wrong key.
+        Failures caused by the caller, such as a wrong key, must not be
+        recorded.
         """
         self.record(service, account, burn.Objective.WHOLE, cause)
 
@@ -127,7 +131,7 @@
         cause: str,
         count: int = 1,
     ) -> None:
-        """Counts events; services out of the configuration are left out."""
+        """Counts events; ignores services not in the configuration."""
         if service not in self.objectives:
             return
         bucket = self.fine.at(self.clock.monotonic())
@@ -149,7 +153,7 @@
         )
 
     def _close_open(self) -> None:
-        """Adds a fine bucket that gets no more events to the coarse one."""
+        """Adds the finished fine bucket to its coarse bucket."""
         if self.open is None:
             return
         coarse = self.coarse.at(self.open.index * FINE_BUCKET_S)
@@ -169,7 +173,7 @@
         return burn.Window(seconds, covered, tuple(counts))
 
     def _long(self, now: float, seconds: float) -> Iterator[Bucket]:
-        """Yields closed coarse buckets, and the open one as if coarse."""
+        """Yields the coarse buckets, and the open one as a coarse bucket."""
         yield from self.coarse.since(now, seconds)
         if self.open is not None:
             start = self.open.index * FINE_BUCKET_S
--- a/src/almondshift/node/operations.py
+++ b/src/almondshift/node/operations.py
@@ -1,4 +1,4 @@
-"""Answers operators' calls from what the node knows."""
+"""Serves operators' calls from the state of this node."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
     from almondshift.model import fleet
 
 
-NOTHING_YET = operations.ConfigVersion(0, "", "", "", 0.0, verified=False)
-"""What stands before the first change; the base of that change."""
+NO_VERSION = operations.ConfigVersion(0, "", "", "", 0.0, verified=False)
+"""The version before the first change, which is the base of that change."""
 
 
 class NodeOperations(operations.Operations):
-    """Operators' calls on one node."""
+    """Serves operators' calls on one node."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
     async def apply_config(
         self, text: str, base: int, change_id: str, author: str
     ) -> expression.Result[operations.ConfigVersion, errors.AlmondshiftError]:
-        """Proposes a text based on version ``base``."""
+        """Proposes a configuration text based on version ``base``."""
         return await self.config.apply(text, base, change_id, author)
 
     async def show_config(
@@ -45,7 +45,7 @@
     ) -> expression.Result[operations.ConfigVersion, errors.AlmondshiftError]:
         """Returns a version, or the one in force here."""
         if version is None and self.config.current is None:
-            return expression.Ok(NOTHING_YET)
+            return expression.Ok(NO_VERSION)
         return await self.config.show(version)
 
     async def config_history(
@@ -61,5 +61,5 @@
         return self.describe()
 
     def objective_counts(self) -> dict[str, Any]:
-        """Returns this node's counts for the report on burn."""
+        """Returns this node's counts for the burn report."""
         return self.count()
--- a/src/almondshift/node/pipeline.py
+++ b/src/almondshift/node/pipeline.py
@@ -1,8 +1,8 @@
 """Runs one completion over a chain, position by position.
 
-Each stage knows the inputs it was given. When a stage is lost, a replacement
-is opened with a new session and is fed those inputs from position 0; stages
-after it are left alone, since what comes out again is what they already have.
+Each stage keeps its inputs. When a stage is lost, a replacement with a new
+session replays these inputs from position 0. Later stages are not touched,
+since the replay yields the outputs that they have already received.
 """
 
 from __future__ import annotations
@@ -28,14 +28,14 @@
     from almondshift.ports import clocks
     from almondshift.ports import engines
 
-PREFILL_CHUNK = 256
-"""Positions in one step; longer prompts are split, so that the decode steps
-of other requests are not held back by more than one such step."""
+PREFILL_CHUNK_POSITIONS = 256
+"""Maximum positions in one step; longer prompts are split, so that decode
+steps of other requests are delayed by at most one such step."""
 
-BUSY_TRIES = 6
-BUSY_WAIT_S = 0.02
-REFUSED_WAIT_S = 0.05
-LONGEST_REFUSED_WAIT_S = 0.8
+MAX_BUSY_ATTEMPTS = 6
+BUSY_BACKOFF_S = 0.02
+REFUSED_BACKOFF_S = 0.05
+MAX_REFUSED_BACKOFF_S = 0.8
 
 _REASONS = {
     steps.StepStatus.LEAVING: events.FailureReason.LEAVING,
@@ -47,7 +47,7 @@
 
 
 class StageLost(Exception):
-    """A stage's session can't be stepped any more."""
+    """The session of a stage can no longer run steps."""
 
     def __init__(self, reason: events.FailureReason) -> None:
         self.reason = reason
@@ -55,29 +55,29 @@
 
 
 class StageCalls(abc.ABC):
-    """How a pipeline reaches endpoints and decisions."""
+    """Interface of a pipeline to the endpoints and the router."""
 
     @abc.abstractmethod
     async def step(
         self, endpoint: str, item: steps.StepItem
     ) -> expression.Result[steps.StepResult, engines.EngineError]:
-        """Runs one item on an endpoint, within a limit of its own."""
+        """Runs one item on an endpoint, with its own time-out."""
 
     @abc.abstractmethod
     async def replace(
         self, failure: events.StageFailed
     ) -> expression.Result[tuple[chains.Stage, ...], errors.AlmondshiftError]:
-        """Decides which stages take over from a lost one."""
+        """Returns the stages that replace a lost one."""
 
     @abc.abstractmethod
-    def abandon(self, endpoint: str, session: str) -> None:
-        """Drops a session without waiting."""
+    def cancel_session(self, endpoint: str, session: str) -> None:
+        """Cancels a session without waiting for the answer."""
 
     @abc.abstractmethod
     async def move_kv(
         self, source: str, session: str, target: str, new_session: str
     ) -> int:
-        """Copies a KV cache; returns the positions it holds, 0 if failed."""
+        """Copies a KV cache; returns the positions in it, 0 on failure."""
 
     @abc.abstractmethod
     def is_leaving(self, endpoint: str) -> bool:
@@ -85,8 +85,8 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Lost:
-    """What is known of the latest failure until the next token."""
+class _PendingRecovery:
+    """A recovery in progress, from the first failure to the next token."""
 
     at: float
     endpoint: str
@@ -100,9 +100,9 @@
 
     Attributes:
         chain: The chain in use; changes with each recovery.
-        tokens: Tokens that came out so far.
+        tokens: Tokens generated so far.
         recoveries: Recoveries so far.
-        execution: Whether any engine ran any part of it.
+        execution: Whether any engine ran any part of the request.
     """
 
     def __init__(
@@ -110,7 +110,7 @@
         request: completions.CompletionRequest,
         chain: chains.Chain,
         calls: StageCalls,
-        budget: kept_inputs.KeptInputs,
+        budget: kept_inputs.KeptInputsBudget,
         clock: clocks.Clock,
         *,
         keep_inputs: bool = True,
@@ -127,9 +127,9 @@
         self.epoch = 0
         self.runs: list[stage_run.StageRun] = []
         self.retired: list[stage_run.StageRun] = []
-        self._lost: _Lost | None = None
+        self._pending_recovery: _PendingRecovery | None = None
         self._sampled: int | None = None
-        self._staying: set[str] = set()
+        self._move_attempted: set[str] = set()
         self._refusals = 0
         self._is_stepping = False
 
@@ -148,16 +148,18 @@
                 self._note_recovery()
                 yield token
         except errors.AlmondshiftError as error:
-            raise self._final(error) from error
+            raise self._to_final_error(error) from error
         finally:
             self.close()
 
-    def _final(self, error: errors.AlmondshiftError) -> errors.AlmondshiftError:
-        """Returns an error that says what is known of execution here.
+    def _to_final_error(
+        self, error: errors.AlmondshiftError
+    ) -> errors.AlmondshiftError:
+        """Returns the error with this pipeline's knowledge of execution.
 
-        The router that gave up knows only that no endpoint is left. Whether
-        one ran a step, and so whether the caller may hear "not run", is
-        known by the answers that came.
+        The router's error only says that no endpoint is left. Whether the
+        caller may be told "not run" depends on whether an engine ran a step,
+        which follows from the answers received here.
         """
         error.execution = self.execution
         repeatable = self.request.idempotent
@@ -168,24 +170,24 @@
         return errors.OutcomeUnknown(error.detail, execution=self.execution)
 
     def close(self) -> None:
-        """Drops all sessions and kept inputs; safe to call again."""
+        """Cancels all sessions and releases kept inputs; idempotent."""
         for run in self.runs:
-            self.calls.abandon(run.stage.endpoint, run.session)
+            self.calls.cancel_session(run.stage.endpoint, run.session)
             run.release()
         self.retired.extend(self.runs)
         self.runs = []
 
     def known_execution(self) -> errors.Execution:
-        """Returns what can be said of execution at this moment.
+        """Returns what is known of execution at this moment.
 
-        A step that has no answer yet may be running.
+        A step without an answer may be running.
         """
         if self._is_stepping and self.execution is errors.Execution.NOT_RUN:
             return errors.Execution.UNKNOWN
         return self.execution
 
     def summary(self) -> completions.CompletionSummary:
-        """Returns where the time went, for every stage used."""
+        """Returns the timings of every stage used."""
         used = [*self.retired, *self.runs]
         timings = tuple(
             completions.StageTiming(
@@ -216,7 +218,7 @@
             session=session,
             epoch=self.epoch,
             budget=self.budget,
-            keeping=self.keep_inputs and stage.layers.start > 0,
+            keeps_inputs=self.keep_inputs and stage.layers.start > 0,
         )
 
     async def _next_token(self) -> int:
@@ -224,7 +226,7 @@
         self._sampled = None
         index = 0
         while index < len(self.runs):
-            await self._leave_leaving(index)
+            await self._move_off_leaving(index)
             try:
                 await self._run_to(index, end)
             except StageLost as lost:
@@ -232,16 +234,16 @@
             else:
                 index += 1
         if self._sampled is None:
-            raise errors.UpstreamFailed("The last stage gave no token.")
+            raise errors.UpstreamFailed("The last stage returned no token.")
         return self._sampled
 
     async def _run_to(self, index: int, end: int) -> None:
         run = self.runs[index]
         while run.done < end:
-            values = run.pending(end, PREFILL_CHUNK)
+            values = run.pending(end, PREFILL_CHUNK_POSITIONS)
             position = run.done
             outputs = await self._step(run, position, values)
-            run.processed(len(values))
+            run.mark_processed(len(values))
             if index + 1 < len(self.runs):
                 self.runs[index + 1].add_outputs(position, outputs)
             else:
@@ -251,14 +253,14 @@
         self, run: stage_run.StageRun, position: int, values: tuple[int, ...]
     ) -> tuple[int, ...]:
         item = self._item(run, position, values)
-        for attempt in range(BUSY_TRIES):
+        for attempt in range(MAX_BUSY_ATTEMPTS):
             result = await self._timed_step(run, item)
             if result.status is steps.StepStatus.OK:
                 self._refusals = 0
                 return result.outputs
             if result.status is not steps.StepStatus.BUSY:
                 break
-            await self.clock.sleep(BUSY_WAIT_S * (attempt + 1))
+            await self.clock.sleep(BUSY_BACKOFF_S * (attempt + 1))
         raise StageLost(_REASONS[result.status])
 
     async def _timed_step(
@@ -311,16 +313,18 @@
     async def _recover(
         self, index: int, reason: events.FailureReason, end: int
     ) -> int:
-        """Replaces the stage at ``index``; returns where to go on.
+        """Replaces the stage at ``index``; returns the index to resume at.
 
-        The old session is never stepped again: after an unknown outcome a
-        second step might append twice to its KV cache, and every later token
-        would be wrong without a sign of it.
+        The old session is never used again: after an unknown outcome a
+        second step might append to its KV cache twice, and every later token
+        would be silently wrong.
         """
         failed = self.runs[index]
-        await self._wait_after_refusal(reason)
-        if self._lost is None:
-            self._lost = _Lost(self.clock.monotonic(), failed.stage.endpoint)
+        await self._back_off_after_refusal(reason)
+        if self._pending_recovery is None:
+            self._pending_recovery = _PendingRecovery(
+                self.clock.monotonic(), failed.stage.endpoint
+            )
         first = self._last_replayable(index)
         positions = sum(run.done for run in self.runs[first : index + 1])
         replacement = await self._replacement(index, reason, positions)
@@ -333,24 +337,28 @@
         for run in self.runs[first : index + 1]:
             self._retire(run)
         self.runs[first : index + 1] = [*rerun, *fresh]
-        self._lost.replacement = tuple(s.endpoint for s in replacement)
-        self._lost.replayed += positions
-        self._lost.restarted |= first < index
+        self._pending_recovery.replacement = tuple(
+            s.endpoint for s in replacement
+        )
+        self._pending_recovery.replayed += positions
+        self._pending_recovery.restarted |= first < index
         return first
 
-    async def _wait_after_refusal(self, reason: events.FailureReason) -> None:
-        """Waits longer after each refusal in a row.
+    async def _back_off_after_refusal(
+        self, reason: events.FailureReason
+    ) -> None:
+        """Backs off exponentially after consecutive refusals.
 
-        While engines are replaced, those that are known to hold a stage may
-        all refuse it for the fraction of a second that their reports lag.
-        Asked again at once, they used up the request's repeats within 0.1 s.
+        While engines are being replaced, all engines known to hold a stage
+        may refuse it until their reports catch up, a fraction of a second
+        later. Immediate retries exhausted the request's retries within 0.1 s.
         """
         if reason is not events.FailureReason.REFUSED:
             self._refusals = 0
             return
-        pause_s = REFUSED_WAIT_S * 2**self._refusals
+        pause_s = REFUSED_BACKOFF_S * 2**self._refusals
         self._refusals += 1
-        await self.clock.sleep(min(pause_s, LONGEST_REFUSED_WAIT_S))
+        await self.clock.sleep(min(pause_s, MAX_REFUSED_BACKOFF_S))
 
     def _last_replayable(self, index: int) -> int:
         while index > 0 and not self.runs[index].replayable:
@@ -375,12 +383,12 @@
     ) -> None:
         new.inputs = old.inputs
         new.reserved = old.reserved
-        new.keeping = old.keeping
+        new.keeps_inputs = old.keeps_inputs
         old.inputs = []
         old.reserved = 0
 
     def _retire(self, run: stage_run.StageRun) -> None:
-        self.calls.abandon(run.stage.endpoint, run.session)
+        self.calls.cancel_session(run.stage.endpoint, run.session)
         run.release()
         run.inputs = []
         self.retired.append(run)
@@ -407,19 +415,19 @@
             case expression.Result(error=error):
                 raise error
 
-    async def _leave_leaving(self, index: int) -> None:
+    async def _move_off_leaving(self, index: int) -> None:
         """Moves a stage off an endpoint that is leaving, if possible.
 
-        Copying the KV cache is cheaper than a replay; where it fails, the
-        stage goes on until its endpoint is gone, and is replayed then.
+        Copying the KV cache is cheaper than a replay. If the copy fails, the
+        stage continues until its endpoint is gone and is replayed then.
         """
         run = self.runs[index]
         endpoint = run.stage.endpoint
-        if run.done == 0 or endpoint in self._staying:
+        if run.done == 0 or endpoint in self._move_attempted:
             return
         if not self.calls.is_leaving(endpoint):
             return
-        self._staying.add(endpoint)
+        self._move_attempted.add(endpoint)
         reason = events.FailureReason.LEAVING
         try:
             target = await self._replacement(index, reason, run.done)
@@ -435,7 +443,7 @@
             endpoint, run.session, target[0].endpoint, moved.session
         )
         if held != run.done:
-            self.calls.abandon(target[0].endpoint, moved.session)
+            self.calls.cancel_session(target[0].endpoint, moved.session)
             return
         moved.done = run.done
         moved.base = run.base
@@ -445,10 +453,10 @@
         self.runs[index] = moved
 
     def _note_recovery(self) -> None:
-        lost = self._lost
+        lost = self._pending_recovery
         if lost is None:
             return
-        self._lost = None
+        self._pending_recovery = None
         self.recoveries.append(
             completions.Recovery(
                 endpoint=lost.endpoint,
--- a/src/almondshift/node/plain_calls.py
+++ b/src/almondshift/node/plain_calls.py
@@ -1,4 +1,4 @@
-"""Sends calls to plain services, and again only where that is safe."""
+"""Sends calls to plain services and retries them only where it is safe."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     from almondshift.ports import clocks
     from almondshift.ports import gateway
 
-MAX_TRIES = 3
+MAX_ATTEMPTS = 3
 CALL_TIMEOUT_S = 10.0
 
 PlainResult = expression.Result[
@@ -54,38 +54,38 @@
         priority: fleet.Priority,
         idempotent: bool,
     ) -> PlainResult:
-        """Calls until there is an answer, or no safe try is left.
+        """Calls until there is an answer or no safe retry is left.
 
-        A call whose outcome is unknown is repeated only if idempotent: a
-        pause notice sent twice would otherwise be carried out twice.
+        A call with an unknown outcome is retried only if idempotent:
+        otherwise a pause notice, for example, could take effect twice.
         """
         admitted = self.guard.admit(request.request_id, _fingerprint(request))
         if admitted.is_error():
             return expression.Error(admitted.error)
         try:
-            return await self._call_repeatedly(request, priority, idempotent)
+            return await self._call_with_retries(request, priority, idempotent)
         finally:
             self.guard.forget(request.request_id)
 
-    async def _call_repeatedly(
+    async def _call_with_retries(
         self,
         request: gateway.PlainRequest,
         priority: fleet.Priority,
         idempotent: bool,
     ) -> PlainResult:
         error: errors.AlmondshiftError | None = None
-        for _ in range(MAX_TRIES):
+        for _ in range(MAX_ATTEMPTS):
             match await self._try_once(request, priority, idempotent):
                 case expression.Result(tag="ok", ok=answer):
                     return expression.Ok(answer)
                 case expression.Result(error=error):
-                    if not _may_repeat(error, idempotent):
+                    if not _may_retry(error, idempotent):
                         break
-                    allowed = await self.guard.may_go_on(request.request_id)
+                    allowed = await self.guard.admit_retry(request.request_id)
                     if allowed.is_error():
                         return expression.Error(allowed.error)
         assert error is not None
-        return expression.Error(_final(error, idempotent))
+        return expression.Error(_to_final_error(error, idempotent))
 
     async def _try_once(
         self,
@@ -93,13 +93,13 @@
         priority: fleet.Priority,
         idempotent: bool,
     ) -> PlainResult:
-        match await self._choose(request, priority, idempotent):
+        match await self._choose_endpoint(request, priority, idempotent):
             case expression.Result(tag="ok", ok=endpoint):
                 return await self._send(request, endpoint, idempotent)
             case expression.Result(error=error):
                 return expression.Error(error)
 
-    async def _choose(
+    async def _choose_endpoint(
         self,
         request: gateway.PlainRequest,
         priority: fleet.Priority,
@@ -142,7 +142,7 @@
     ) -> PlainResult:
         address = self.directory.address(endpoint)
         if address is None:
-            self._ended(request, whole=False)
+            self._notify_router(request, whole=False)
             return expression.Error(
                 errors.EndpointUnreachable(f"Endpoint {endpoint} is gone.")
             )
@@ -157,26 +157,28 @@
             timeout_s=max(min(left, CALL_TIMEOUT_S), 0.001),
             repeatable=idempotent,
         )
-        async with self.guard.turn(endpoint, request.request_id):
+        async with self.guard.call_slot(endpoint, request.request_id):
             answer = await self.service.call(address, call)
-            self._ended(request, whole=answer.is_ok())
+            self._notify_router(request, whole=answer.is_ok())
             match answer:
                 case expression.Result(tag="ok", ok=whole):
                     self.guard.plain_answered(endpoint, request.request_id)
                     return expression.Ok(whole)
                 case expression.Result(error=error):
-                    await self.guard.plain_ended(
+                    await self.guard.plain_failed(
                         endpoint, request.request_id, error
                     )
                     return expression.Error(error)
         raise AssertionError(answer)
 
-    def _ended(self, request: gateway.PlainRequest, *, whole: bool) -> None:
+    def _notify_router(
+        self, request: gateway.PlainRequest, *, whole: bool
+    ) -> None:
         now = self.clock.monotonic()
         if whole:
-            self.driver.tell(events.Completed(now, request.request_id))
+            self.driver.notify(events.Completed(now, request.request_id))
         else:
-            self.driver.tell(events.Abandoned(now, request.request_id))
+            self.driver.notify(events.Abandoned(now, request.request_id))
 
 
 def _fingerprint(request: gateway.PlainRequest) -> str:
@@ -184,7 +186,7 @@
     return quarantine_verdicts.fingerprint_of(request.service, content)
 
 
-def _may_repeat(error: errors.AlmondshiftError, idempotent: bool) -> bool:
+def _may_retry(error: errors.AlmondshiftError, idempotent: bool) -> bool:
     if isinstance(error, errors.EndpointOutcomeUnknown):
         return idempotent
     return isinstance(
@@ -192,13 +194,13 @@
     )
 
 
-def _final(
+def _to_final_error(
     error: errors.AlmondshiftError, idempotent: bool
 ) -> errors.AlmondshiftError:
     if not isinstance(error, errors.EndpointOutcomeUnknown):
         return error
     if idempotent:
-        return errors.UpstreamFailed("No endpoint gave a whole answer.")
+        return errors.UpstreamFailed("No endpoint gave a complete answer.")
     return errors.OutcomeUnknown(
-        "The call was sent and no whole answer came back."
+        "The call was sent, but no complete answer was received."
     )
--- a/src/almondshift/node/reconciler.py
+++ b/src/almondshift/node/reconciler.py
@@ -1,4 +1,4 @@
-"""Gives engines their orders, while this node holds the control lease."""
+"""Sends orders to engines while this node holds the control lease."""
 
 from __future__ import annotations
 
@@ -27,34 +27,35 @@
 
 
 class OrderGuard(abc.ABC):
-    """Says whether this node may give orders right now."""
+    """Determines whether this node may send orders right now."""
 
     @abc.abstractmethod
     def fencing(self) -> int | None:
-        """Returns the fencing number of a lease held now, else None."""
+        """Returns the fencing token of the lease if held now, else None."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReconcilerSettings:
-    """How often orders are given.
+    """How often plans are made and orders are sent.
 
     Attributes:
-        plan_s: Seconds between plans.
-        replan_s: Seconds for each engine after which an unchanged state is
-            planned again: sessions that end are not part of the state, and
-            a small fleet must not wait for what costs it little.
-        resend_s: Seconds after which an order is given again to an engine
-            that doesn't report what it was ordered.
+        plan_interval_s: Seconds between reconciliations.
+        replan_s_per_engine: An unchanged state is planned again after this
+            many seconds for each engine, since the number of sessions is not
+            part of the state. In a small fleet planning is cheap, so it
+            replans sooner.
+        resend_interval_s: Seconds after which an order is sent again to an
+            engine that doesn't report the ordered state.
     """
 
-    plan_s: float = 0.3
-    replan_s: float = 0.01
-    resend_s: float = 2.0
+    plan_interval_s: float = 0.3
+    replan_s_per_engine: float = 0.01
+    resend_interval_s: float = 2.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _PlanState:
-    """What a plan depends on."""
+    """The inputs of a plan, used to detect changes."""
 
     version: int
     engines: frozenset[tuple[object, ...]]
@@ -68,12 +69,12 @@
 
 
 class Reconciler:
-    """Compares what engines hold with the plan, and orders the difference.
+    """Compares what engines hold with the plan and orders the difference.
 
     Attributes:
-        sent: Orders given since the start.
-        stale: Orders that an engine refused for an old fencing number.
-        notes: What the last plan said can't be done.
+        sent: Number of orders sent since the start.
+        stale: Number of orders refused because of an old fencing token.
+        notes: What the last plan could not satisfy.
     """
 
     def __init__(
@@ -96,9 +97,9 @@
         self.sent = 0
         self.stale = 0
         self.notes: tuple[str, ...] = ()
-        self._planned: _PlanState | None = None
+        self._settled_state: _PlanState | None = None
         self._planned_at = float("-inf")
-        self._last: dict[str, _Sent] = {}
+        self._last_sent: dict[str, _Sent] = {}
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
@@ -115,16 +116,16 @@
             try:
                 await self.reconcile()
             except Exception:
-                logger.exception("reconciling failed")
+                logger.exception("reconciliation failed")
             spread = self.rng.uniform(0.8, 1.2)
-            await self.clock.sleep(self.settings.plan_s * spread)
+            await self.clock.sleep(self.settings.plan_interval_s * spread)
 
     async def reconcile(self) -> None:
-        """Plans once and gives the orders that are due."""
+        """Plans once and sends the orders that are due."""
         wanted = self.current_fleet()
         if self.guard.fencing() is None or wanted is None:
-            self._last.clear()
-            self._planned = None
+            self._last_sent.clear()
+            self._settled_state = None
             return
         engines = self._engines()
         plain_ready = self.directory.plain_ready()
@@ -133,25 +134,27 @@
             frozenset(_engine_state(engine) for engine in engines),
             frozenset(plain_ready),
         )
-        if not self._has_changed(state):
+        if not self._needs_plan(state):
             return
         plan = self.planner.plan(wanted, engines, plain_ready)
-        self._planned = state if not plan.orders else None
+        self._settled_state = state if not plan.orders else None
         self._planned_at = self.clock.monotonic()
         self.notes = plan.notes
         for order in plan.orders:
             if self._is_due(order):
-                await self._give(order)
+                await self._send_order(order)
 
-    def _has_changed(self, state: _PlanState) -> bool:
-        """Returns whether a plan could come out other than the last.
+    def _needs_plan(self, state: _PlanState) -> bool:
+        """Returns whether a new plan could differ from the last one.
 
-        A plan over 820 engines takes 59 ms (bench.placement), and one that
-        ordered nothing orders nothing again on the same state.
+        A plan for 820 engines takes 59 ms (bench.placement), and a plan
+        without orders stays without orders while the state is the same.
         """
         age_s = self.clock.monotonic() - self._planned_at
-        again_s = len(state.engines) * self.settings.replan_s
-        return state != self._planned or age_s >= again_s
+        replan_interval_s = (
+            len(state.engines) * self.settings.replan_s_per_engine
+        )
+        return state != self._settled_state or age_s >= replan_interval_s
 
     def _engines(self) -> list[placement.PlacedEngine]:
         return [
@@ -163,25 +166,28 @@
         ]
 
     def _is_due(self, order: placement.PlannedOrder) -> bool:
-        last = self._last.get(order.endpoint)
+        last = self._last_sent.get(order.endpoint)
         if last is None or last.order != order:
             return True
-        return self.clock.monotonic() - last.at >= self.settings.resend_s
+        return (
+            self.clock.monotonic() - last.at >= self.settings.resend_interval_s
+        )
 
-    async def _give(self, order: placement.PlannedOrder) -> None:
-        """Gives one order if the lease is still held right now.
+    async def _send_order(self, order: placement.PlannedOrder) -> None:
+        """Sends one order if the lease is still held.
 
         A holder that was paused between plan and order may have lost its
-        lease; its order would undo what the new holder decided. The check
-        stands directly before the call, and the fencing number stops what
-        slips through at engines that check it; others are brought back by
-        the new holder's next plan, since routing follows their reports.
+        lease, and its order would undo the new holder's decisions. The lease
+        is therefore checked directly before the call. Engines that check the
+        fencing token refuse an order that is late nevertheless; others are
+        corrected by the new holder's next plan, since routing follows their
+        reports.
         """
         engine = self.directory.engine(order.endpoint)
         fencing = self.guard.fencing()
         if engine is None or fencing is None:
             return
-        self._last[order.endpoint] = _Sent(order, self.clock.monotonic())
+        self._last_sent[order.endpoint] = _Sent(order, self.clock.monotonic())
         self.sent += 1
         answer = await engine.order(
             dataclasses.replace(order.order, fencing=fencing)
@@ -197,9 +203,12 @@
             case expression.Result(tag="ok", ok=given):
                 if given.status is orders.OrderStatus.STALE:
                     self.stale += 1
-                    logger.warning("stale order for %s", order.endpoint)
+                    logger.warning(
+                        "engine %s refused an order with a stale fencing token",
+                        order.endpoint,
+                    )
             case _:
-                self._last.pop(order.endpoint, None)
+                self._last_sent.pop(order.endpoint, None)
 
 
 def _engine_state(engine: placement.PlacedEngine) -> tuple[object, ...]:
--- a/src/almondshift/node/refusals.py
+++ b/src/almondshift/node/refusals.py
@@ -1,4 +1,4 @@
-"""Turns the router's refusals into typed errors."""
+"""Maps the router's refusals to typed errors."""
 
 from __future__ import annotations
 
@@ -35,16 +35,16 @@
     ),
     actions.RefusalReason.NO_REPLACEMENT: (
         errors.UpstreamFailed,
-        "A stage failed and no endpoint can take over.",
+        "A stage failed and no other endpoint can replace it.",
     ),
     actions.RefusalReason.RETRY_BUDGET: (
         errors.UpstreamFailed,
-        "A stage failed and too many recoveries are running already.",
+        "A stage failed and too many recoveries are already running.",
     ),
 }
 
 
 def to_error(refusal: actions.Refuse) -> errors.AlmondshiftError:
-    """Returns the error that a caller gets for a refusal."""
+    """Returns the error reported to the caller for a refusal."""
     kind, detail = _ERRORS[refusal.reason]
     return kind(detail, retry_after_s=refusal.retry_after_s)
--- a/src/almondshift/node/router_driver.py
+++ b/src/almondshift/node/router_driver.py
@@ -1,4 +1,4 @@
-"""Carries events to the router and its actions to who waits for them."""
+"""Passes events to the router and its decisions to the waiting requests."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     from almondshift.policy import routers
     from almondshift.ports import clocks
 
-TICK_S = 0.02
+TICK_INTERVAL_S = 0.02
 
 Decision = (
     actions.Dispatch | actions.DispatchPlain | actions.Replace | actions.Refuse
@@ -26,12 +26,12 @@
 
 
 class RouterDriver:
-    """Runs a router on the loop.
+    """Runs a router on the event loop.
 
     Attributes:
         router: The state machine.
-        usage: What is in flight and used, by the router's decisions.
-        on_probe: Called with the endpoint of each probe asked for.
+        usage: Requests in flight and account usage, from the decisions.
+        on_probe: Called with the endpoint of each probe that is requested.
     """
 
     def __init__(self, router: routers.Router, clock: clocks.Clock) -> None:
@@ -43,11 +43,11 @@
         self._ticker: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Starts the ticks."""
+        """Starts the periodic ticks."""
         self._ticker = asyncio.create_task(self._tick())
 
     async def close(self) -> None:
-        """Stops the ticks; requests that wait are cancelled."""
+        """Stops the ticks and cancels waiting requests."""
         if self._ticker is not None:
             self._ticker.cancel()
         for future in self._waiting.values():
@@ -56,58 +56,58 @@
 
     @property
     def waiting(self) -> int:
-        """Requests that wait for a decision."""
+        """Number of requests that wait for a decision."""
         return len(self._waiting)
 
-    def tell(self, event: events.Event) -> None:
-        """Gives the router an event and carries out what it decides."""
+    def notify(self, event: events.Event) -> None:
+        """Passes an event to the router and executes its actions."""
         self.usage.observe(event)
         for action in self.router.handle(event):
-            self.usage.decided(action, event.at)
-            self._carry_out(action)
+            self.usage.observe_action(action, event.at)
+            self._execute(action)
 
     async def decide(
         self, event: events.Arrival | events.StageFailed
     ) -> Decision:
-        """Gives an event and waits for the decision on its request.
+        """Passes an event and waits for the decision on its request.
 
-        If the waiter is cancelled, the router is told that the request was
-        abandoned, else it would hold a slot for it for ever.
+        On cancellation the router is notified that the request was
+        abandoned; otherwise it would reserve a slot for it for ever.
         """
         future: asyncio.Future[Decision] = (
             asyncio.get_running_loop().create_future()
         )
         self._waiting[event.request_id] = future
-        self.tell(event)
+        self.notify(event)
         try:
             return await future
         except asyncio.CancelledError:
-            self.tell(
+            self.notify(
                 events.Abandoned(self.clock.monotonic(), event.request_id)
             )
             raise
         finally:
             self._waiting.pop(event.request_id, None)
 
-    def _carry_out(self, action: actions.Action) -> None:
+    def _execute(self, action: actions.Action) -> None:
         if isinstance(action, actions.Probe):
             self.on_probe(action.endpoint)
             return
         future = self._waiting.pop(action.request_id, None)
         if future is None or future.done():
-            logger.warning("decision for nobody: %s", action)
+            logger.warning("no request waits for the decision %s", action)
             return
         future.set_result(action)
 
     async def _tick(self) -> None:
         while True:
-            await self.clock.sleep(TICK_S)
+            await self.clock.sleep(TICK_INTERVAL_S)
             if self._waiting:
-                self.tell(events.Tick(self.clock.monotonic()))
+                self.notify(events.Tick(self.clock.monotonic()))
 
 
 def create_router_driver(
     router: routers.Router, clock: clocks.Clock
 ) -> RouterDriver:
-    """Builds a driver; not started yet."""
+    """Builds a driver without starting it."""
     return RouterDriver(router, clock)
--- a/src/almondshift/node/seeds.py
+++ b/src/almondshift/node/seeds.py
@@ -1,4 +1,4 @@
-"""How nodes find each other at first: rows in the platform's table."""
+"""Peer discovery at start-up through rows in the platform's table."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
     from almondshift.ports import clocks
 
 TABLE = "nodes"
-REFRESH_S = 60.0
-STALE_S = 600.0
-SCAN_S = 60.0
+ROW_REFRESH_INTERVAL_S = 60.0
+MAX_ROW_AGE_S = 600.0
+SCAN_INTERVAL_S = 60.0
 SCAN_LIMIT = 20
-FIRST_PAUSE_S = 0.5
+WRITE_RETRY_INTERVAL_S = 0.5
 
 logger = logging.getLogger(__name__)
 
 
 class SeedRows:
-    """Writes this node's row, and reads some of the others'.
+    """Writes this node's row and reads rows of other nodes.
 
-    Rows are only for the first contact and for finding each other again
-    after a partition; who is alive is the membership's matter.
+    The rows serve only for the first contact and for reconnecting after a
+    partition; the membership determines which nodes are alive.
     """
 
     def __init__(
@@ -39,25 +39,25 @@
         clock: clocks.Clock,
         rng: random.Random,
         node: str,
-        fixed: tuple[str, ...],
+        configured_addresses: tuple[str, ...],
     ) -> None:
         self.store = store
         self.clock = clock
         self.rng = rng
         self.node = node
-        self.fixed = fixed
+        self.configured_addresses = configured_addresses
         self.address = ""
         self._found: list[str] = []
         self._scanned_at = float("-inf")
         self._task: asyncio.Task[None] | None = None
 
     async def start(self, address: str) -> None:
-        """Starts to keep this node's row with its peer address."""
+        """Starts to write and refresh this node's row with its address."""
         self.address = address
-        self._task = asyncio.create_task(self._keep_row())
+        self._task = asyncio.create_task(self._refresh_row())
 
     async def close(self) -> None:
-        """Removes this node's row, if the store answers."""
+        """Removes this node's row, if the store is available."""
         if self._task is not None:
             self._task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
@@ -66,30 +66,36 @@
         await self.store.transact([row])
 
     async def addresses(self) -> list[str]:
-        """Returns addresses of peers to ask first."""
+        """Returns addresses of peers to contact first."""
         now = self.clock.monotonic()
-        if now - self._scanned_at >= SCAN_S or not self._found:
+        if now - self._scanned_at >= SCAN_INTERVAL_S or not self._found:
             await self._scan()
         own = self.address
-        return [a for a in [*self.fixed, *self._found] if a != own]
+        return [
+            a for a in [*self.configured_addresses, *self._found] if a != own
+        ]
 
     async def _scan(self) -> None:
         match await self.store.scan(TABLE, "", SCAN_LIMIT):
             case expression.Result(tag="ok", ok=rows):
                 self._scanned_at = self.clock.monotonic()
                 self._found = [
-                    str(row.value["peer"]) for row in rows if self._fresh(row)
+                    str(row.value["peer"])
+                    for row in rows
+                    if self._is_row_fresh(row)
                 ]
             case _:
                 return
 
-    def _fresh(self, row: stores.Row) -> bool:
-        return self.clock.wall() - float(row.value["at"]) < STALE_S
+    def _is_row_fresh(self, row: stores.Row) -> bool:
+        return self.clock.wall() - float(row.value["at"]) < MAX_ROW_AGE_S
 
-    async def _keep_row(self) -> None:
+    async def _refresh_row(self) -> None:
         while True:
             written = await self._write_row()
-            pause = REFRESH_S if written else FIRST_PAUSE_S
+            pause = (
+                ROW_REFRESH_INTERVAL_S if written else WRITE_RETRY_INTERVAL_S
+            )
             await self.clock.sleep(pause * self.rng.uniform(0.8, 1.2))
 
     async def _write_row(self) -> bool:
@@ -103,15 +109,15 @@
     clock: clocks.Clock,
     rng: random.Random,
     node: str,
-    fixed: tuple[str, ...],
+    configured_addresses: tuple[str, ...],
 ) -> SeedRows:
-    """Builds the rows' keeper.
+    """Builds the seed rows without starting them.
 
     Args:
         store: The platform's table.
         clock: Source of time.
         rng: Source of jitter.
         node: This node's name.
-        fixed: Peer addresses from the settings.
+        configured_addresses: Peer addresses from the settings.
     """
-    return SeedRows(store, clock, rng, node, fixed)
+    return SeedRows(store, clock, rng, node, configured_addresses)
--- a/src/almondshift/node/shared_vm_list.py
+++ b/src/almondshift/node/shared_vm_list.py
@@ -1,4 +1,4 @@
-"""The platform's list of VMs, from peers while the platform is away."""
+"""The platform's VM list, with a fallback to peers at start-up."""
 
 from __future__ import annotations
 
@@ -19,22 +19,21 @@
 
 TOPIC = "vm list"
 ASK_TIMEOUT_S = 1.0
-PEERS_ASKED = 3
+MAX_PEERS_ASKED = 3
 
 Vms = builtins.list[endpoints.Vm]
 
 
 class SharedVmList(vm_lists.VmList):
-    """Reads the platform's list, and at first a peer's if there is none.
+    """Reads the platform's list, or a peer's if none was read so far.
 
-    A node that starts while the platform is away would know no endpoint and
-    refuse each caller that was sent to it. A peer's list may be old, but not
-    older than what that peer itself routes by; endpoints that are gone are
-    found out by calling them. Once a list is known, an outage leaves it as it
-    is, as it does at the peers.
+    A node that starts while the platform is unavailable would know no
+    endpoint and refuse all its callers. A peer's list may be outdated, but
+    the peer itself routes by it, and calls to endpoints that are gone fail.
+    Once a list is known, it stays in use during an outage, as on the peers.
 
     Attributes:
-        known: The list last read, of the platform or of a peer.
+        known: The last list read, from the platform or a peer.
     """
 
     def __init__(
@@ -52,7 +51,7 @@
     async def list(
         self,
     ) -> expression.Result[Vms, errors.StoreUnavailable]:
-        """Returns the platform's list, or a peer's if none was ever read."""
+        """Returns the platform's list, or a peer's if none was read so far."""
         result = await self.platform.list()
         if result.is_ok():
             self.known = result.ok
@@ -66,7 +65,7 @@
     async def _ask_peers(self) -> Vms | None:
         names = [peer.name for peer in self.membership.peers()]
         self.rng.shuffle(names)
-        for name in names[:PEERS_ASKED]:
+        for name in names[:MAX_PEERS_ASKED]:
             answer = await self.membership.ask(name, TOPIC, b"", ASK_TIMEOUT_S)
             found = _decode(answer.ok) if answer.is_ok() else None
             if found:
@@ -89,11 +88,11 @@
     membership: memberships.Membership,
     rng: random.Random,
 ) -> SharedVmList:
-    """Creates the list, and answers peers that ask for it.
+    """Creates the list and registers it for queries of peers.
 
     Args:
         platform: The platform's own list.
-        membership: Reaches the peers.
-        rng: Chooses which peers are asked.
+        membership: Used to query peers and to answer them.
+        rng: Selects the peers to query.
     """
     return SharedVmList(platform, membership, rng)
--- a/src/almondshift/node/stage_calls.py
+++ b/src/almondshift/node/stage_calls.py
@@ -1,4 +1,4 @@
-"""Joins a pipeline to the directory and the router."""
+"""Connects a pipeline to the directory and the router."""
 
 from __future__ import annotations
 
@@ -45,10 +45,10 @@
         self, endpoint: str, item: steps.StepItem
     ) -> expression.Result[steps.StepResult, engines.EngineError]:
         """Runs one item through the endpoint's coalescer."""
-        calls = self.directory.calls_to(endpoint)
+        calls = self.directory.coalescer_for(endpoint)
         if calls is None:
             return expression.Error(directory.unreachable(endpoint))
-        async with self.guard.turn(endpoint, item.request_id):
+        async with self.guard.call_slot(endpoint, item.request_id):
             return await self._submit(calls, endpoint, item)
 
     async def _submit(
@@ -57,10 +57,10 @@
         try:
             outcome = await calls.submit(item)
         except asyncio.CancelledError:
-            self.guard.gave_up(endpoint, item.request_id)
+            self.guard.call_abandoned(endpoint, item.request_id)
             raise
         self._note_leaving(endpoint, outcome)
-        await self.guard.ended(endpoint, item, outcome)
+        await self.guard.step_ended(endpoint, item, outcome)
         return outcome
 
     def _note_leaving(
@@ -68,26 +68,26 @@
         endpoint: str,
         outcome: expression.Result[steps.StepResult, engines.EngineError],
     ) -> None:
-        """Takes an endpoint's own word that it is leaving.
+        """Records that an endpoint refused a step because it is leaving.
 
-        Only its own refusal is that. A stage is also moved off an endpoint
-        that only the VM list or a peer calls leaving; taken for the
-        endpoint's word, that kept a new instance, which the late list
-        called leaving, without work long after the list was right again.
+        Only such a refusal counts as the endpoint's own report. A stage is
+        also moved off an endpoint that only the VM list or a peer reports as
+        leaving. When such moves counted too, a new instance that an outdated
+        list showed as leaving got no work long after the list was correct.
         """
         if outcome.is_ok() and outcome.ok.status is steps.StepStatus.LEAVING:
-            self.directory.said_leaving(endpoint)
+            self.directory.endpoint_reported_leaving(endpoint)
 
     async def replace(
         self, failure: events.StageFailed
     ) -> expression.Result[tuple[chains.Stage, ...], errors.AlmondshiftError]:
-        """Asks the router which stages take over."""
-        allowed = await self.guard.may_go_on(failure.request_id)
+        """Asks the router for the replacement stages."""
+        allowed = await self.guard.admit_retry(failure.request_id)
         if allowed.is_error():
             return expression.Error(allowed.error)
         if failure.reason is events.FailureReason.LEAVING:
             endpoint = failure.chain.stages[failure.index].endpoint
-            self.directory.router_hears_leaving(endpoint)
+            self.directory.note_move_from_leaving(endpoint)
         decision = await self.driver.decide(failure)
         if isinstance(decision, actions.Replace):
             return expression.Ok(decision.replacement)
@@ -96,10 +96,10 @@
             error.execution = errors.Execution.UNKNOWN
             return expression.Error(error)
         return expression.Error(
-            errors.UpstreamFailed("No stage could take over.")
+            errors.UpstreamFailed("No replacement for the stage was found.")
         )
 
-    def abandon(self, endpoint: str, session: str) -> None:
+    def cancel_session(self, endpoint: str, session: str) -> None:
         """Cancels a session in the background."""
         engine = self.directory.engine(endpoint)
         if engine is not None:
@@ -108,7 +108,7 @@
     async def move_kv(
         self, source: str, session: str, target: str, new_session: str
     ) -> int:
-        """Exports from one engine and imports into another."""
+        """Exports a KV cache from one engine and imports it into another."""
         origin = self.directory.engine(source)
         destination = self.directory.engine(target)
         if origin is None or destination is None:
@@ -122,7 +122,7 @@
         return moved.length if answer.is_ok() else 0
 
     def is_leaving(self, endpoint: str) -> bool:
-        """Returns what the directory knows."""
+        """Returns whether the directory knows that an endpoint is leaving."""
         return self.directory.is_leaving(endpoint)
 
     def _spawn(self, work: Coroutine[Any, Any, Any]) -> None:
--- a/src/almondshift/node/stage_run.py
+++ b/src/almondshift/node/stage_run.py
@@ -1,4 +1,4 @@
-"""One stage of a running request: its engine session and kept inputs."""
+"""The state of one stage of a running request."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 
 @dataclasses.dataclass(slots=True)
 class StageRun:
-    """A stage, how far its session got, and the inputs known for it.
+    """A stage with its engine session, progress and kept inputs.
 
     Attributes:
         session: Engine session; a new one for each epoch.
-        done: Positions that the session has processed.
+        done: Number of positions that the session has processed.
         base: First position whose input is still kept.
         inputs: Inputs from ``base`` on.
-        keeping: Whether processed inputs are kept for replay.
-        reserved: Inputs counted in ``budget``.
+        keeps_inputs: Whether processed inputs are kept for replay.
+        reserved: Number of inputs reserved in ``budget``.
     """
 
     stage: chains.Stage
     session: str
     epoch: int
-    budget: kept_inputs.KeptInputs
-    keeping: bool = True
+    budget: kept_inputs.KeptInputsBudget
+    keeps_inputs: bool = True
     done: int = 0
     base: int = 0
     inputs: list[int] = dataclasses.field(default_factory=list)
@@ -38,46 +38,46 @@
     seconds: float = 0.0
 
     @property
-    def known(self) -> int:
-        """Positions whose inputs were ever known."""
+    def received_end(self) -> int:
+        """The position after the last input received."""
         return self.base + len(self.inputs)
 
     @property
     def replayable(self) -> bool:
-        """Whether a new session can be fed from position 0."""
+        """Whether all inputs from position 0 are kept for a new session."""
         return self.base == 0
 
     def add_outputs(self, position: int, values: Sequence[int]) -> None:
-        """Takes the outputs of the stage before, from ``position`` on.
+        """Adds the outputs of the previous stage, from ``position`` on.
 
-        A replay of the stage before yields again what is known already;
-        only what goes beyond is added.
+        A replay of the previous stage repeats outputs that were received
+        before; only new ones are added.
         """
-        fresh = values[self.known - position :]
+        fresh = values[self.received_end - position :]
         self.inputs.extend(fresh)
 
     def pending(self, end: int, limit: int) -> tuple[int, ...]:
-        """Returns at most ``limit`` inputs not processed yet, below ``end``."""
+        """Returns up to ``limit`` unprocessed inputs below position ``end``."""
         first = self.done - self.base
         last = min(end - self.base, first + limit)
         return tuple(self.inputs[first:last])
 
-    def processed(self, count: int) -> None:
-        """Notes that the session took ``count`` more inputs."""
+    def mark_processed(self, count: int) -> None:
+        """Records that the session processed ``count`` more inputs."""
         self.done += count
         fresh = self.done - self.base - self.reserved
-        if self.keeping and fresh > 0:
-            self.keeping = self.budget.reserve(fresh)
-            self.reserved += fresh if self.keeping else 0
-        if not self.keeping:
-            self._forget()
+        if self.keeps_inputs and fresh > 0:
+            self.keeps_inputs = self.budget.reserve(fresh)
+            self.reserved += fresh if self.keeps_inputs else 0
+        if not self.keeps_inputs:
+            self._drop_processed()
 
-    def _forget(self) -> None:
+    def _drop_processed(self) -> None:
         del self.inputs[: self.done - self.base]
         self.base = self.done
         self.release()
 
     def release(self) -> None:
-        """Gives back what is counted in the budget."""
+        """Releases the inputs reserved in the budget."""
         self.budget.release(self.reserved)
         self.reserved = 0
--- a/src/almondshift/node/status.py
+++ b/src/almondshift/node/status.py
@@ -13,7 +13,7 @@
 
 
 def describe(node: application.Node) -> dict[str, Any]:
-    """Returns what a node knows of itself, its peers and endpoints."""
+    """Returns the state of a node and its view of peers and endpoints."""
     current = node.config.current
     grant = node.lease.grant()
     return {
--- a/src/almondshift/node/step_queue.py
+++ b/src/almondshift/node/step_queue.py
@@ -1,9 +1,9 @@
-"""Chooses which steps travel to an engine in the next call.
+"""Selects the steps that are sent to an engine in the next call.
 
-Answers of a call come when all of its items have run, so a long prompt in it
-would hold back every token that other requests wait for. Long inputs are
-therefore cut into portions, and a call carries a bounded number of tokens:
-first the items of one token, then portions of long ones in what is left.
+The results of a call arrive when all of its items have run, so a long prompt
+would delay the tokens of all other requests in the call. Long inputs are
+therefore split into portions, and the tokens of a call are limited: it takes
+items of one token first and fills the rest with portions of long ones.
 """
 
 from __future__ import annotations
@@ -22,27 +22,28 @@
 
     from almondshift.model import endpoints
 
-SHORT_TOKENS = 1
-SMALLEST_PORTION = 16
-"""Tokens of a long input that travel even in a call that is full of short
-ones; else long inputs would wait for as long as the engine is busy."""
+MAX_SHORT_TOKENS = 1
+MIN_PORTION_TOKENS = 16
+"""Tokens of a long input that are sent even in a call full of short items;
+otherwise long inputs would starve while the engine is busy."""
 
-CALL_TARGET_S = 0.05
-"""Longest time of a call: below the 63 ms that callers may wait between
-tokens, less what the way takes."""
+TARGET_CALL_S = 0.05
+"""Target for the longest call: the 63 ms that callers may wait between two
+tokens, less the network latency."""
 
-SHORTEST_TOKEN_S = 1e-9
+MIN_TOKEN_S = 1e-9
 
 StepOutcome = expression.Result[steps.StepResult, engines.EngineError]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallLimits:
-    """What fits in one call.
+    """Size limits of one call.
 
     Attributes:
-        items: Items in a call.
-        tokens: Tokens in a call, beside ``SMALLEST_PORTION``.
+        items: Maximum items in a call.
+        tokens: Maximum tokens in a call, which ``MIN_PORTION_TOKENS`` may
+            exceed.
     """
 
     items: int = 32
@@ -55,24 +56,24 @@
     """Returns limits under which a call takes about ``CALL_TARGET_S``.
 
     Args:
-        engine: What the engine says of itself.
-        layer_count: Layers that it runs for each token.
+        engine: The engine's description of itself.
+        layer_count: Number of layers that it runs for each token.
     """
-    token_s = max(engine.per_layer_token_s * layer_count, SHORTEST_TOKEN_S)
-    tokens = round((CALL_TARGET_S - engine.fixed_s) / token_s)
-    return CallLimits(engine.max_batch, max(tokens, SMALLEST_PORTION))
+    token_s = max(engine.per_layer_token_s * layer_count, MIN_TOKEN_S)
+    tokens = round((TARGET_CALL_S - engine.fixed_s) / token_s)
+    return CallLimits(engine.max_batch, max(tokens, MIN_PORTION_TOKENS))
 
 
 @dataclasses.dataclass(eq=False, slots=True)
 class Waiter:
-    """A submitted item.
+    """A submitted item that waits for its outcome.
 
     Attributes:
-        sequence: Grows with each item submitted.
+        sequence: Increases with each submitted item.
         submitted_at: Monotonic time.
         done: Resolved with the outcome of the whole item.
         outputs: Outputs of the portions that ran.
-        is_sent: Whether a portion was given to the engine.
+        is_sent: Whether a portion was sent to the engine.
     """
 
     item: steps.StepItem
@@ -84,19 +85,19 @@
 
     @property
     def is_short(self) -> bool:
-        """Whether the item goes before the portions of long ones."""
-        return len(self.item.inputs) <= SHORT_TOKENS
+        """Whether the item takes precedence over portions of long items."""
+        return len(self.item.inputs) <= MAX_SHORT_TOKENS
 
     @property
-    def left(self) -> int:
+    def remaining(self) -> int:
         """Number of inputs that have not run."""
         return len(self.item.inputs) - len(self.outputs)
 
-    def cut(self, size: int) -> Portion:
-        """Returns the next inputs as an item of their own."""
+    def take_portion(self, size: int) -> Portion:
+        """Returns up to ``size`` of the next inputs as a separate item."""
         self.is_sent = True
         ran = len(self.outputs)
-        if ran == 0 and size >= self.left:
+        if ran == 0 and size >= self.remaining:
             return Portion(self, self.item)
         inputs = self.item.inputs[ran : ran + size]
         position = self.item.position + ran
@@ -106,18 +107,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Portion:
-    """A part of a waiter's item, or all of it."""
+    """A part of a waiter's item, or the whole item."""
 
     waiter: Waiter
     item: steps.StepItem
 
 
 Entry = tuple[int, int, Waiter]
-"""Priority, sequence and waiter: a tuple, since heaps compare those fast."""
+"""Priority, sequence and waiter; a tuple, since heaps compare tuples fast."""
 
 
 class StepQueue:
-    """Waiting items; urgent ones first, then in order of arrival."""
+    """Queue of items, ordered by priority, then by arrival."""
 
     def __init__(self, limits: CallLimits) -> None:
         self.limits = limits
@@ -125,13 +126,13 @@
         self.long: list[Entry] = []
 
     def push(self, waiter: Waiter) -> None:
-        """Adds a waiter, or puts one back that has inputs left."""
+        """Adds a waiter, or puts back one with remaining inputs."""
         queue = self.short if waiter.is_short else self.long
         entry = (waiter.item.priority, waiter.sequence, waiter)
         heapq.heappush(queue, entry)
 
     def take(self) -> list[Portion]:
-        """Takes what travels in the next call; empty if nothing waits."""
+        """Takes the portions for the next call; empty if nothing is queued."""
         self._drop_finished()
         if self.limits.items == 1:
             return self._take_one()
@@ -153,23 +154,23 @@
             return []
         first = min(heads, key=lambda queue: queue[0])
         _, _, waiter = heapq.heappop(first)
-        return [waiter.cut(self.limits.tokens)]
+        return [waiter.take_portion(self.limits.tokens)]
 
     def _take_short(self, count: int) -> list[Portion]:
         portions: list[Portion] = []
         while self.short and len(portions) < count:
             _, _, waiter = heapq.heappop(self.short)
             if not waiter.done.done():
-                portions.append(waiter.cut(SHORT_TOKENS))
+                portions.append(waiter.take_portion(MAX_SHORT_TOKENS))
         return portions
 
     def _take_long(self, portions: list[Portion]) -> None:
-        budget = max(self.limits.tokens - len(portions), SMALLEST_PORTION)
+        budget = max(self.limits.tokens - len(portions), MIN_PORTION_TOKENS)
         while self.long and budget > 0 and len(portions) < self.limits.items:
             _, _, waiter = heapq.heappop(self.long)
             if waiter.done.done():
                 continue
-            portion = waiter.cut(budget)
+            portion = waiter.take_portion(budget)
             budget -= len(portion.item.inputs)
             portions.append(portion)
 
--- a/src/almondshift/node/sweeper.py
+++ b/src/almondshift/node/sweeper.py
@@ -1,4 +1,4 @@
-"""Has expired claims deleted, while this node holds the control lease."""
+"""Deletes expired claims while this node holds the control lease."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
     from almondshift.node import reconciler
     from almondshift.ports import clocks
 
-SWEEP_S = 30.0
+SWEEP_INTERVAL_S = 30.0
 
 logger = logging.getLogger(__name__)
 
 
 class Sweeper:
-    """Sweeps one bounded batch at a time."""
+    """Periodically deletes a bounded batch of expired claims."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Starts to sweep."""
+        """Starts sweeping."""
         self._task = asyncio.create_task(self._run())
 
     async def close(self) -> None:
@@ -45,12 +45,14 @@
 
     async def _run(self) -> None:
         while True:
-            await self.clock.sleep(SWEEP_S * self.rng.uniform(0.8, 1.2))
+            await self.clock.sleep(
+                SWEEP_INTERVAL_S * self.rng.uniform(0.8, 1.2)
+            )
             if self.guard.fencing() is None:
                 continue
             swept = await self.sweep.sweep()
             if swept.is_error():
-                logger.info("claims were not swept: %s", swept.error)
+                logger.info("failed to sweep expired claims: %s", swept.error)
 
 
 def create_sweeper(
@@ -59,5 +61,5 @@
     clock: clocks.Clock,
     rng: random.Random,
 ) -> Sweeper:
-    """Builds a sweeper; not started yet."""
+    """Builds a sweeper without starting it."""
     return Sweeper(sweep, guard, clock, rng)
--- a/src/almondshift/node/usage.py
+++ b/src/almondshift/node/usage.py
@@ -1,4 +1,4 @@
-"""What this node has in flight and what accounts use through it."""
+"""Tracks this node's requests in flight and its usage by account."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 
     from almondshift.model import chains
 
-MEMORY_S = 2.0
-SMALLEST_RATE = 0.5
+DECAY_TIME_S = 2.0
+MIN_TOKENS_PER_S = 0.5
 
 
 @dataclasses.dataclass(slots=True)
@@ -25,19 +25,19 @@
     tokens: float
 
     def add(self, now: float, tokens: float) -> None:
-        self.tokens = self.per_s(now) * MEMORY_S + tokens
+        self.tokens = self.per_s(now) * DECAY_TIME_S + tokens
         self.at = now
 
     def per_s(self, now: float) -> float:
         elapsed = max(0.0, now - self.at)
-        return self.tokens * math.exp(-elapsed / MEMORY_S) / MEMORY_S
+        return self.tokens * math.exp(-elapsed / DECAY_TIME_S) / DECAY_TIME_S
 
 
 class Usage:
-    """Follows the events and actions of the router.
+    """Usage meter that follows the events and actions of the router.
 
     Attributes:
-        in_flight: Requests by endpoint.
+        in_flight: Number of requests in flight by endpoint.
         refused_at: Monotonic time of the last refusal for overload.
     """
 
@@ -49,7 +49,7 @@
         self._rates: dict[str, _Rate] = {}
 
     def observe(self, event: events.Event) -> None:
-        """Takes an event that the router is given."""
+        """Records an event that is passed to the router."""
         if isinstance(event, events.Arrival):
             self._accounts[event.request_id] = event.account
         elif isinstance(event, events.Progress):
@@ -57,8 +57,8 @@
         elif isinstance(event, events.Completed | events.Abandoned):
             self._end(event.request_id)
 
-    def decided(self, action: actions.Action, at: float) -> None:
-        """Takes an action that the router decided."""
+    def observe_action(self, action: actions.Action, at: float) -> None:
+        """Records an action that the router decided on."""
         if isinstance(action, actions.Dispatch):
             self._occupy(action.request_id, _names(action.chain.stages))
         elif isinstance(action, actions.DispatchPlain):
@@ -72,16 +72,16 @@
             self._end(action.request_id)
 
     def load(self, now: float) -> float:
-        """Returns 1.0 if the node refused work just now, else 0.0."""
-        return 1.0 if now - self.refused_at < MEMORY_S else 0.0
+        """Returns 1.0 if the node recently refused work, else 0.0."""
+        return 1.0 if now - self.refused_at < DECAY_TIME_S else 0.0
 
     def rates(self, now: float) -> dict[str, float]:
-        """Returns recent tokens a second by account; forgets idle ones."""
+        """Returns recent tokens per second by account; drops idle ones."""
         found = {a: r.per_s(now) for a, r in self._rates.items()}
         for account, rate in found.items():
-            if rate < SMALLEST_RATE:
+            if rate < MIN_TOKENS_PER_S:
                 del self._rates[account]
-        return {a: r for a, r in found.items() if r >= SMALLEST_RATE}
+        return {a: r for a, r in found.items() if r >= MIN_TOKENS_PER_S}
 
     def _count(self, at: float, request_id: str, tokens: int) -> None:
         account = self._accounts.get(request_id)
--- a/tests/node/fake_stages.py
+++ b/tests/node/fake_stages.py
@@ -132,7 +132,7 @@
         self.spares += 1
         return chains.Stage(f"s{self.spares}", layers.LayerRange(start, end))
 
-    def abandon(self, endpoint: str, session: str) -> None:
+    def cancel_session(self, endpoint: str, session: str) -> None:
         self.cancelled.append(session)
 
     async def move_kv(
--- a/tests/node/test_coalescer.py
+++ b/tests/node/test_coalescer.py
@@ -59,7 +59,7 @@
         self.calls: list[list[steps.StepItem]] = []
         self.gates: list[asyncio.Future[Any]] = []
         self.is_open = False
-        self.call_limit_s = TIMEOUT_S
+        self.call_timeout_s = TIMEOUT_S
         self.running = 0
         self.most_running = 0
         self.timings: list[coalescer.CallTiming] = []
@@ -68,7 +68,7 @@
             clock,
             settings,
             self.timings.append,
-            lambda: self.call_limit_s,
+            lambda: self.call_timeout_s,
         )
 
     async def step(
@@ -296,7 +296,7 @@
 
         assert outcomes[1].is_ok() == bool(changes)
         assert isinstance(outcomes[0].error, errors.EndpointOutcomeUnknown)
-        assert rig.coalescer.mismatched_echoes == (1 if changes else 2)
+        assert rig.coalescer.mismatched_results == (1 if changes else 2)
 
 
 @pytest.mark.parametrize(
@@ -336,7 +336,7 @@
 ) -> None:
     async with run_rig() as rig:
         if ending == "timeout":
-            rig.call_limit_s = 0.1
+            rig.call_timeout_s = 0.1
         if not is_sent:
             await rig.fill()
         if ending == "closed before":
--- a/tests/node/test_directory.py
+++ b/tests/node/test_directory.py
@@ -89,7 +89,7 @@
             directory.DirectorySettings(),
         )
         guard = mock.create_autospec(crash_guard.CrashGuard, instance=True)
-        guard.may_go_on.return_value = expression.Ok(None)
+        guard.admit_retry.return_value = expression.Ok(None)
         self.calls = stage_calls.NodeStageCalls(
             self.directory, self.driver, guard
         )
@@ -106,7 +106,7 @@
 
     async def start(self) -> None:
         config = fleets.make_fleet()
-        self.driver.tell(events.FleetChanged(self.clock.now, config))
+        self.driver.notify(events.FleetChanged(self.clock.now, config))
         await self.show(endpoints.VmState.LIVE)
 
     async def show(self, state: endpoints.VmState | None) -> None:
@@ -129,7 +129,7 @@
     async def answer_step(self, status: steps.StepStatus) -> None:
         calls = mock.create_autospec(coalescer.Coalescer, instance=True)
         calls.submit.return_value = expression.Ok(STEP.answer(status))
-        self.directory.endpoints["e"].calls = calls
+        self.directory.endpoints["e"].step_coalescer = calls
         await self.calls.step("e", STEP)
 
 
@@ -252,7 +252,7 @@
     """
     rig = Rig()
     await rig.show(endpoints.VmState.LEAVING)
-    rig.driver.tell(events.FleetChanged(rig.clock.now, fleets.make_fleet()))
+    rig.driver.notify(events.FleetChanged(rig.clock.now, fleets.make_fleet()))
     assert rig.directory.is_leaving("e")
     assert not rig.router.service_ready("chat")
     await rig.directory.close()
--- a/tests/node/test_load_exchange.py
+++ b/tests/node/test_load_exchange.py
@@ -65,7 +65,7 @@
     ]
     for engine in ("e1", "e2", "e3"):
         watching = sum(1 for e in exchanges if e.watches(engine))
-        assert watching == min(nodes, load_exchange.WATCHERS)
+        assert watching == min(nodes, load_exchange.WATCHERS_PER_ENGINE)
 
 
 def _publisher_and_other() -> tuple[
@@ -109,9 +109,9 @@
     for kind, key, value, ttl_s in calls:
         fact = peers.Fact(kind, key, 1, "peer", ttl_s, value)
         if kind is peers.FactKind.ENGINE_LOAD:
-            receiver._heard_report(key, fact)
+            receiver._on_state_fact(key, fact)
         else:
-            receiver._heard_use("peer", fact)
+            receiver._on_use_fact("peer", fact)
 
 
 def _taken(
@@ -129,7 +129,7 @@
     sender._publish_reports()
     kind, key, value, ttl_s = sender.membership.publish.call_args.args
     fact = peers.Fact(kind, key, 1, "peer", ttl_s - 2.0, value)
-    receiver._heard_report(key, fact)
+    receiver._on_state_fact(key, fact)
     (report,) = receiver.directory.take_peer_report.call_args.args
     assert report.age_s == pytest.approx(2.5)
     assert report.holdings == REPORT.holdings
@@ -140,9 +140,9 @@
     sender._publish_use()
     kind, key, value, ttl_s = sender.membership.publish.call_args.args
     receiver = _exchange("n2", ["n1"])
-    receiver._heard_use(key, peers.Fact(kind, key, 1, "n1", ttl_s, value))
-    receiver._heard_use(key, None)
-    told = [call.args[0] for call in receiver.driver.tell.call_args_list]
+    receiver._on_use_fact(key, peers.Fact(kind, key, 1, "n1", ttl_s, value))
+    receiver._on_use_fact(key, None)
+    told = [call.args[0] for call in receiver.driver.notify.call_args_list]
     assert told == [
         events.PeerLoad(100.0, "n1", {}, {}),
         events.PeerGone(100.0, "n1"),
@@ -202,7 +202,7 @@
     [
         ({}, 1.0, 0),
         ({"sessions": 60, "queued_items": 50}, 1.0, 0),
-        ({}, load_exchange.REPEAT_S, 1),
+        ({}, load_exchange.STATE_REPUBLISH_INTERVAL_S, 1),
         ({"instance": "other"}, 1.0, 1),
         ({"leaving": True}, 1.0, 1),
         ({"role": endpoints.EndpointRole.DRAINING}, 1.0, 1),
@@ -240,10 +240,10 @@
     state = dataclasses.replace(state, ttl_s=state.ttl_s - 62.0)
     use = dataclasses.replace(use, ttl_s=use.ttl_s - 1.0)
     if state_first:
-        receiver._heard_report("e1", state)
-    receiver._heard_use("peer", use)
+        receiver._on_state_fact("e1", state)
+    receiver._on_use_fact("peer", use)
     if not state_first:
-        receiver._heard_report("e1", state)
+        receiver._on_state_fact("e1", state)
     last = _taken(receiver)[-1]
     assert (last.sessions, last.queued_items) == (9, 4)
     assert last.age_s == pytest.approx(2.5)
@@ -324,11 +324,11 @@
         value["load"] = bad
     else:
         value.setdefault(part, {})["other"] = bad
-    receiver._heard_report("e1", state)
+    receiver._on_state_fact("e1", state)
     _at(receiver, 100.5)
     changed = dataclasses.replace(use, value=json.dumps(value).encode())
-    receiver._heard_use("peer", changed)
-    (told,) = [call.args[0] for call in receiver.driver.tell.call_args_list]
+    receiver._on_use_fact("peer", changed)
+    (told,) = [call.args[0] for call in receiver.driver.notify.call_args_list]
     assert told == events.PeerLoad(100.5, "peer", {"e1": 2}, {})
     assert receiver._rows["e1"].row.sessions == 8
 
@@ -357,7 +357,7 @@
 
 
 @pytest.mark.parametrize(
-    ("nodes", "seconds", "most_bytes"),
+    ("nodes", "seconds", "max_bytes"),
     [
         (1, 1.0, 1500),
         (5, 1.0, 1500),
@@ -368,7 +368,7 @@
     ],
 )
 def test_use_is_stated_less_often_and_shorter_with_more_nodes(
-    nodes: int, seconds: float, most_bytes: int
+    nodes: int, seconds: float, max_bytes: int
 ) -> None:
     # With statements as long and as frequent as in a small system, those of
     # 81 nodes did not fit through the exchange, and all got old.
@@ -378,10 +378,10 @@
         _observe(exchange, f"engine-{i}")
     exchange.rank("e1")
     exchange._ranks = dict.fromkeys(exchange.directory.endpoints, 0)
-    assert exchange.use_s() == pytest.approx(seconds)
+    assert exchange.use_interval_s() == pytest.approx(seconds)
     exchange._publish_use()
     (use,) = _published(exchange, peers.FactKind.ACCOUNT_USE)
-    assert len(use.value) <= exchange.value_bytes() == most_bytes
+    assert len(use.value) <= exchange.max_value_bytes_now() == max_bytes
     assert len(json.loads(use.value)["in_flight"]) >= 3
     assert len(json.loads(use.value)["loads"]) >= 3
 
--- a/tests/node/test_pipeline.py
+++ b/tests/node/test_pipeline.py
@@ -69,7 +69,7 @@
         _request(),
         chain,
         stages,
-        kept_inputs.create_kept_inputs(limit),
+        kept_inputs.create_kept_inputs_budget(limit),
         RealClock(),
         keep_inputs=keep,
     )
