--- a/src/almondshift/node/application.py
+++ b/src/almondshift/node/application.py
@@ -252,7 +252,7 @@
             ports.clock,
             self.rng,
         )
-        self.once = at_most_once.AtMostOnce(self.claims)
+        self.at_most_once = at_most_once.AtMostOnce(self.claims)
         self.answer_times = answer_times.create_answer_times()
         self.drain = drains.create_drain(
             ports.clock,
@@ -282,7 +282,7 @@
                 self.guard,
                 ports.clock,
             ),
-            self.once,
+            self.at_most_once,
             self.entries,
             self.drain,
             self.answer_times.expected_s,
@@ -325,9 +325,9 @@
         await self.reconciler.close()
         lease_release = asyncio.ensure_future(self.lease.close())
         report = await self.drain.run()
-        if self.once.running:
+        if self.at_most_once.running:
             await asyncio.wait(
-                self.once.running, timeout=DISPATCH_SETTLE_TIMEOUT_S
+                self.at_most_once.running, timeout=DISPATCH_SETTLE_TIMEOUT_S
             )
         await lease_release
         return report
--- a/src/almondshift/node/coalescer.py
+++ b/src/almondshift/node/coalescer.py
@@ -115,7 +115,7 @@
         Time in the queue doesn't count towards the time-out: under a burst
         a healthy engine's queue is long, and treating that engine as dead
         would replay the work elsewhere at peak load. When a call gets no
-        answer, all queued items fail as not sent.
+        answer, all queued items fail too, as not sent if no portion was.
 
         Args:
             item: The item; a long one may be split into portions.
--- a/src/almondshift/node/crash_guard.py
+++ b/src/almondshift/node/crash_guard.py
@@ -49,8 +49,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _CrashPosition:
-    """How far a request had got when its endpoint crashed."""
+class _StepPosition:
+    """How far a request has got: first layer and next position of a step."""
 
     layer: int
     position: int
@@ -66,16 +66,16 @@
     def __init__(
         self,
         quarantine: quarantines.Quarantine,
-        known: directory.Directory,
+        endpoint_directory: directory.Directory,
         rank: Callable[[str], int],
         clock: clocks.Clock,
     ) -> None:
         self.quarantine = quarantine
-        self.directory = known
+        self.directory = endpoint_directory
         self.rank = rank
         self.clock = clock
         self._fingerprints: dict[str, str] = {}
-        self._crash_positions: dict[str, _CrashPosition] = {}
+        self._crash_positions: dict[str, _StepPosition] = {}
         self._suspect_locks: dict[str, asyncio.Lock] = {}
         self._crash_checks: dict[str, asyncio.Task[bool]] = {}
 
@@ -125,14 +125,14 @@
     ) -> None:
         """Records the outcome of a step; waits for the crash check if any."""
         fingerprint = self._fingerprint(item.request_id)
-        place = _CrashPosition(
+        step_position = _StepPosition(
             item.layers.start, item.position + len(item.inputs)
         )
         if not _is_unknown(outcome):
             self.quarantine.done(endpoint, fingerprint)
-            self._note_progress(fingerprint, place, outcome.is_ok())
+            self._note_progress(fingerprint, step_position, outcome.is_ok())
         elif await self._has_crashed(endpoint):
-            self._crash_positions.setdefault(fingerprint, place)
+            self._crash_positions.setdefault(fingerprint, step_position)
             self._log_suspect(item.request_id, endpoint)
         else:
             self.quarantine.done(endpoint, fingerprint)
@@ -246,12 +246,15 @@
         return len({crash.endpoint for crash in crashes})
 
     def _note_progress(
-        self, fingerprint: str, place: _CrashPosition, is_ok: bool
+        self, fingerprint: str, step_position: _StepPosition, is_ok: bool
     ) -> None:
-        failed = self._crash_positions.get(fingerprint)
-        if failed is None or not is_ok:
+        crash_position = self._crash_positions.get(fingerprint)
+        if crash_position is None or not is_ok:
             return
-        if place.layer < failed.layer or place.position < failed.position:
+        if (
+            step_position.layer < crash_position.layer
+            or step_position.position < crash_position.position
+        ):
             return
         del self._crash_positions[fingerprint]
         self.quarantine.passed(fingerprint)
@@ -331,7 +334,7 @@
 
 def create_crash_guard(
     quarantine: quarantines.Quarantine,
-    known: directory.Directory,
+    endpoint_directory: directory.Directory,
     rank: Callable[[str], int],
     clock: clocks.Clock,
 ) -> CrashGuard:
@@ -339,9 +342,9 @@
 
     Args:
         quarantine: This node's quarantine state.
-        known: The endpoints.
+        endpoint_directory: The endpoints.
         rank: Returns this node's rank among the live nodes for an endpoint,
             from 0.
         clock: Source of time.
     """
-    return CrashGuard(quarantine, known, rank, clock)
+    return CrashGuard(quarantine, endpoint_directory, rank, clock)
--- a/src/almondshift/node/load_exchange.py
+++ b/src/almondshift/node/load_exchange.py
@@ -42,8 +42,8 @@
 
 WATCHERS_PER_ENGINE = 3
 PUBLISH_INTERVAL_S = 1.0
-MAX_USE_FACTS_PER_S = 20.0
-MAX_USE_BYTES_PER_S = 9_000.0
+MAX_USAGE_FACTS_PER_S = 20.0
+MAX_USAGE_BYTES_PER_S = 9_000.0
 MIN_VALUE_BYTES = 200
 """Limits for the rate and the bytes of usage facts from all nodes together.
 
@@ -52,8 +52,8 @@
 outdated on arrival. The minimum size holds the loads of two or three engines
 and some usage entries."""
 
-MIN_USE_TTL_S = 10.0
-USE_TTL_INTERVALS = 4
+MIN_USAGE_TTL_S = 10.0
+USAGE_TTL_INTERVALS = 4
 STATE_TTL_S = 900.0
 STATE_REPUBLISH_INTERVAL_S = 300.0
 STATE_PUBLISH_DELAY_S = 3.0
@@ -61,7 +61,7 @@
 all 820 engines and publish each of them."""
 
 ALIVE_REFRESH_INTERVAL_S = 0.5
-MAX_USE_ENTRIES = 20
+MAX_USAGE_ENTRIES = 20
 MAX_VALUE_BYTES = peer_types.MembershipSettings().max_value_bytes
 MAX_LOADS_SHARE = 0.5
 """Maximum share of a usage fact for loads; the rest is for account usage."""
@@ -103,14 +103,14 @@
     def __init__(
         self,
         membership: memberships.Membership,
-        known: directory.Directory,
+        endpoint_directory: directory.Directory,
         driver: router_driver.RouterDriver,
         meter: usage.Usage,
         clock: clocks.Clock,
         rng: random.Random,
     ) -> None:
         self.membership = membership
-        self.directory = known
+        self.directory = endpoint_directory
         self.driver = driver
         self.meter = meter
         self.clock = clock
@@ -123,7 +123,7 @@
         self._alive: frozenset[str] = frozenset()
         self._alive_refreshed_at = float("-inf")
         self._ranks: dict[str, int] = {}
-        self._use_published_at = float("-inf")
+        self._usage_published_at = float("-inf")
         self._publish_states_from = float("-inf")
         self._task: asyncio.Task[None] | None = None
 
@@ -139,7 +139,9 @@
         """Subscribes to the facts of peers, including those already known."""
         state_kind = peers.FactKind.ENGINE_LOAD
         self.membership.subscribe(state_kind, self._on_state_fact)
-        self.membership.subscribe(peers.FactKind.ACCOUNT_USE, self._on_use_fact)
+        self.membership.subscribe(
+            peers.FactKind.ACCOUNT_USE, self._on_usage_fact
+        )
         # A state received earlier is not published again for minutes.
         for key, fact in self.membership.facts(state_kind).items():
             self.membership.tell(state_kind, key, fact)
@@ -168,30 +170,30 @@
             self._ranks[engine] = known
         return known
 
-    def use_interval_s(self) -> float:
+    def usage_interval_s(self) -> float:
         """Returns the seconds between two usage facts of this node."""
         return max(
-            PUBLISH_INTERVAL_S, (len(self._alive) + 1) / MAX_USE_FACTS_PER_S
+            PUBLISH_INTERVAL_S, (len(self._alive) + 1) / MAX_USAGE_FACTS_PER_S
         )
 
     def max_value_bytes_now(self) -> int:
         """Returns the size limit of a usage fact for the current node count."""
-        each = int(MAX_USE_BYTES_PER_S / (len(self._alive) + 1))
+        each = int(MAX_USAGE_BYTES_PER_S / (len(self._alive) + 1))
         return min(MAX_VALUE_BYTES, max(MIN_VALUE_BYTES, each))
 
     def publish(self) -> None:
         """Publishes the facts that are due; a failed one skips no other."""
         now = self.clock.monotonic()
         if (
-            now - self._use_published_at
-            >= self.use_interval_s() - PUBLISH_INTERVAL_S / 2
+            now - self._usage_published_at
+            >= self.usage_interval_s() - PUBLISH_INTERVAL_S / 2
         ):
-            self._use_published_at = now
+            self._usage_published_at = now
             try:
-                self._publish_use()
+                self._publish_usage()
             except Exception:
                 logger.exception("failed to publish usage")
-        self._publish_reports()
+        self._publish_states()
 
     async def _run(self) -> None:
         while True:
@@ -212,13 +214,13 @@
             for peer in self.membership.peers()
             if peer.state is peer_types.PeerState.ALIVE
         )
-        came, went = alive - self._alive, self._alive - alive
+        joined, left = alive - self._alive, self._alive - alive
         self._alive = alive
-        if not came and not went:
+        if not joined and not left:
             return
         for engine in self._ranks:
-            change = self._count_before(came, engine) - self._count_before(
-                went, engine
+            change = self._count_before(joined, engine) - self._count_before(
+                left, engine
             )
             self._ranks[engine] += change
 
@@ -242,8 +244,10 @@
             and self.rank(name) == 0
         ]
 
-    def _publish_use(self) -> None:
-        ttl_s = max(MIN_USE_TTL_S, USE_TTL_INTERVALS * self.use_interval_s())
+    def _publish_usage(self) -> None:
+        ttl_s = max(
+            MIN_USAGE_TTL_S, USAGE_TTL_INTERVALS * self.usage_interval_s()
+        )
         max_bytes = self.max_value_bytes_now()
         loads_bytes = int(MAX_LOADS_SHARE * max_bytes)
         rows = load_rows.fitting(self._rows_by_change(), loads_bytes)
@@ -251,11 +255,11 @@
         self.membership.publish(
             peers.FactKind.ACCOUNT_USE,
             self.membership.node.name,
-            self._use_value(ttl_s, rows, max_bytes),
+            self._encode_usage(ttl_s, rows, max_bytes),
             ttl_s,
         )
 
-    def _use_value(
+    def _encode_usage(
         self, ttl_s: float, rows: list[load_rows.LoadRow], max_bytes: int
     ) -> bytes:
         """Encodes the rows and as much of the account usage as fits."""
@@ -263,7 +267,7 @@
         rates = sorted(self.meter.rates(now).items(), key=lambda row: -row[1])
         loads = msgspec.to_builtins(rows)
         encoded = b""
-        for max_entries in range(MAX_USE_ENTRIES, -1, -1):
+        for max_entries in range(MAX_USAGE_ENTRIES, -1, -1):
             parts = {
                 "load": self.meter.load(now),
                 "ttl_s": round(ttl_s, 1),
@@ -286,12 +290,15 @@
         return [load_rows.row_of(report) for report in reports]
 
     def _urgency(self, report: endpoints.LoadReport) -> tuple[float, float]:
-        told = self._published_counts.get(report.endpoint)
-        if told is None or told.report.instance != report.instance:
+        last_published = self._published_counts.get(report.endpoint)
+        if (
+            last_published is None
+            or last_published.report.instance != report.instance
+        ):
             return (float("-inf"), 0.0)
-        change = abs(report.sessions - told.report.sessions)
-        change += abs(report.queued_items - told.report.queued_items)
-        return (-change, told.at)
+        change = abs(report.sessions - last_published.report.sessions)
+        change += abs(report.queued_items - last_published.report.queued_items)
+        return (-change, last_published.at)
 
     def _record_published_counts(self, rows: list[load_rows.LoadRow]) -> None:
         now = self.clock.monotonic()
@@ -304,7 +311,7 @@
                 kept[name] = _Published(now, report)
         self._published_counts = kept
 
-    def _publish_reports(self) -> None:
+    def _publish_states(self) -> None:
         now = self.clock.monotonic()
         if now < self._publish_states_from:
             return
@@ -352,7 +359,7 @@
         self._states[key] = _ReceivedState(at, report)
         self._apply_report(key)
 
-    def _on_use_fact(self, key: str, fact: peers.Fact | None) -> None:
+    def _on_usage_fact(self, key: str, fact: peers.Fact | None) -> None:
         now = self.clock.monotonic()
         if key == self.membership.node.name:
             return
@@ -368,7 +375,7 @@
         }
         used = _numbers(value.get("use"))
         self.driver.notify(events.PeerLoad(now, key, in_flight, used))
-        ttl_s = _number(value.get("ttl_s")) or MIN_USE_TTL_S
+        ttl_s = _number(value.get("ttl_s")) or MIN_USAGE_TTL_S
         transit_s = max(0.0, ttl_s - fact.ttl_s)
         for row in load_rows.decode(value.get("loads")):
             self._merge_row(row, now - transit_s - row.age_s)
@@ -391,13 +398,13 @@
         if state is None:
             return
         report, at = state.report, state.at
-        heard = self._rows.get(name)
-        if heard is not None and _is_newer(heard, state):
-            at = heard.at
+        counts = self._rows.get(name)
+        if counts is not None and _is_newer(counts, state):
+            at = counts.at
             report = dataclasses.replace(
                 report,
-                sessions=heard.row.sessions,
-                queued_items=heard.row.queued_items,
+                sessions=counts.row.sessions,
+                queued_items=counts.row.queued_items,
             )
         age_s = max(0.0, self.clock.monotonic() - at)
         self.directory.take_peer_report(
@@ -405,10 +412,10 @@
         )
 
 
-def _is_newer(heard: _ReceivedRow, state: _ReceivedState) -> bool:
+def _is_newer(counts: _ReceivedRow, state: _ReceivedState) -> bool:
     """Returns whether counts are newer than a state of the same instance."""
-    is_same = heard.row.tag == load_rows.tag_of(state.report.instance)
-    return is_same and heard.at > state.at
+    is_same = counts.row.tag == load_rows.tag_of(state.report.instance)
+    return is_same and counts.at > state.at
 
 
 def _with_held_time(
@@ -452,11 +459,13 @@
 
 def create_load_exchange(
     membership: memberships.Membership,
-    known: directory.Directory,
+    endpoint_directory: directory.Directory,
     driver: router_driver.RouterDriver,
     meter: usage.Usage,
     clock: clocks.Clock,
     rng: random.Random,
 ) -> LoadExchange:
     """Builds the exchange without starting it."""
-    return LoadExchange(membership, known, driver, meter, clock, rng)
+    return LoadExchange(
+        membership, endpoint_directory, driver, meter, clock, rng
+    )
--- a/src/almondshift/node/plain_calls.py
+++ b/src/almondshift/node/plain_calls.py
@@ -37,13 +37,13 @@
     def __init__(
         self,
         service: plain_services.PlainService,
-        known: directory.Directory,
+        endpoint_directory: directory.Directory,
         driver: router_driver.RouterDriver,
         guard: crash_guard.CrashGuard,
         clock: clocks.Clock,
     ) -> None:
         self.service = service
-        self.directory = known
+        self.directory = endpoint_directory
         self.driver = driver
         self.guard = guard
         self.clock = clock
--- a/src/almondshift/node/reconciler.py
+++ b/src/almondshift/node/reconciler.py
@@ -80,7 +80,7 @@
     def __init__(
         self,
         guard: OrderGuard,
-        known: directory.Directory,
+        endpoint_directory: directory.Directory,
         current_fleet: Callable[[], fleet.Fleet | None],
         planner: planners.Planner,
         clock: clocks.Clock,
@@ -88,7 +88,7 @@
         settings: ReconcilerSettings,
     ) -> None:
         self.guard = guard
-        self.directory = known
+        self.directory = endpoint_directory
         self.current_fleet = current_fleet
         self.planner = planner
         self.clock = clock
--- a/src/almondshift/node/stage_calls.py
+++ b/src/almondshift/node/stage_calls.py
@@ -32,11 +32,11 @@
 
     def __init__(
         self,
-        known: directory.Directory,
+        endpoint_directory: directory.Directory,
         driver: router_driver.RouterDriver,
         guard: crash_guard.CrashGuard,
     ) -> None:
-        self.directory = known
+        self.directory = endpoint_directory
         self.driver = driver
         self.guard = guard
         self._background: set[asyncio.Task[Any]] = set()
--- a/src/almondshift/node/status.py
+++ b/src/almondshift/node/status.py
@@ -61,7 +61,7 @@
 
 
 def _endpoint_row(
-    known_endpoints: directory.Directory,
+    endpoint_directory: directory.Directory,
     name: str,
     known: directory.Endpoint,
 ) -> dict[str, Any]:
@@ -70,7 +70,7 @@
         "name": name,
         "kind": known.vm.kind.value,
         "zone": known.vm.zone,
-        "leaving": known_endpoints.is_leaving(name),
+        "leaving": endpoint_directory.is_leaving(name),
         "sessions": known.report.sessions if known.report else None,
         "holdings": [_holding_row(held) for held in holdings],
     }
--- a/tests/node/test_load_exchange.py
+++ b/tests/node/test_load_exchange.py
@@ -111,7 +111,7 @@
         if kind is peers.FactKind.ENGINE_LOAD:
             receiver._on_state_fact(key, fact)
         else:
-            receiver._on_use_fact("peer", fact)
+            receiver._on_usage_fact("peer", fact)
 
 
 def _taken(
@@ -126,7 +126,7 @@
     # with the time on the way added to its age; else old news would count
     # as fresh. It once failed to decode, and ended the exchange with it.
     sender, receiver = _publisher_and_other()
-    sender._publish_reports()
+    sender._publish_states()
     kind, key, value, ttl_s = sender.membership.publish.call_args.args
     fact = peers.Fact(kind, key, 1, "peer", ttl_s - 2.0, value)
     receiver._on_state_fact(key, fact)
@@ -137,11 +137,11 @@
 
 def test_use_of_accounts_and_loss_of_a_peer_reach_the_router() -> None:
     sender = _exchange("n1", ["n2"])
-    sender._publish_use()
+    sender._publish_usage()
     kind, key, value, ttl_s = sender.membership.publish.call_args.args
     receiver = _exchange("n2", ["n1"])
-    receiver._on_use_fact(key, peers.Fact(kind, key, 1, "n1", ttl_s, value))
-    receiver._on_use_fact(key, None)
+    receiver._on_usage_fact(key, peers.Fact(kind, key, 1, "n1", ttl_s, value))
+    receiver._on_usage_fact(key, None)
     told = [call.args[0] for call in receiver.driver.notify.call_args_list]
     assert told == [
         events.PeerLoad(100.0, "n1", {}, {}),
@@ -166,11 +166,11 @@
     # The node that tells of an engine is lost. Without the next one telling
     # at once, callers' work would go by old loads for minutes.
     sender, other = _publisher_and_other()
-    other._publish_reports()
+    other._publish_states()
     assert not _published(other, peers.FactKind.ENGINE_LOAD)
     other.membership.peers.return_value = []
     _at(other, 101.0)
-    other._publish_reports()
+    other._publish_states()
     assert len(_published(other, peers.FactKind.ENGINE_LOAD)) == 1
 
 
@@ -178,17 +178,17 @@
     # Meanwhile the next watcher told another state, which would stand.
     sender, _ = _publisher_and_other()
     alone = sender.membership.peers.return_value
-    sender._publish_reports()
+    sender._publish_states()
     better = next(n for n in map(str, range(99)) if _is_first(n, sender))
     sender.membership.peers.return_value = [
         dataclasses.replace(alone[0], name=better)
     ]
     _at(sender, 101.0)
-    sender._publish_reports()
+    sender._publish_states()
     sender.membership.peers.return_value = alone
     _at(sender, 102.0)
     sender.membership.publish.reset_mock()
-    sender._publish_reports()
+    sender._publish_states()
     assert len(_published(sender, peers.FactKind.ENGINE_LOAD)) == 1
 
 
@@ -214,11 +214,11 @@
     changes: dict[str, object], after_s: float, told: int
 ) -> None:
     sender, _ = _publisher_and_other()
-    sender._publish_reports()
+    sender._publish_states()
     sender.membership.publish.reset_mock()
     _at(sender, 100.0 + after_s)
     _observe(sender, "e1", **changes)
-    sender._publish_reports()
+    sender._publish_states()
     assert len(_published(sender, peers.FactKind.ENGINE_LOAD)) == told
 
 
@@ -229,19 +229,19 @@
     # The state was told a minute ago, the numbers now: a router that took
     # the state's age would leave the engine out as long not heard of.
     sender, receiver = _publisher_and_other()
-    sender._publish_reports()
+    sender._publish_states()
     (state,) = _published(sender, peers.FactKind.ENGINE_LOAD)
     _at(sender, 160.0)
     _observe(sender, "e1", sessions=9, queued_items=4)
     _at(sender, 161.0)
-    sender._publish_use()
+    sender._publish_usage()
     (use,) = _published(sender, peers.FactKind.ACCOUNT_USE)
     _at(receiver, 162.0)
     state = dataclasses.replace(state, ttl_s=state.ttl_s - 62.0)
     use = dataclasses.replace(use, ttl_s=use.ttl_s - 1.0)
     if state_first:
         receiver._on_state_fact("e1", state)
-    receiver._on_use_fact("peer", use)
+    receiver._on_usage_fact("peer", use)
     if not state_first:
         receiver._on_state_fact("e1", state)
     last = _taken(receiver)[-1]
@@ -257,7 +257,7 @@
     _at(sender, 102.0)
     _at(receiver, 102.0)
     _observe(sender, "e1", instance="new", sessions=50)
-    sender._publish_use()
+    sender._publish_usage()
     _deliver(sender, receiver)
     assert all(report.sessions == 3 for report in _taken(receiver))
 
@@ -272,13 +272,13 @@
     told: set[str] = set()
     for second in range(20):
         _at(sender, 101.0 + second)
-        sender._publish_use()
+        sender._publish_usage()
         (use,) = _published(sender, peers.FactKind.ACCOUNT_USE)
         assert len(use.value) <= load_exchange.MAX_VALUE_BYTES
         told |= {row[0] for row in json.loads(use.value)["loads"]}
     assert told == {"e1", *names}
     _observe(sender, names[7], sessions=40)
-    sender._publish_use()
+    sender._publish_usage()
     (use,) = _published(sender, peers.FactKind.ACCOUNT_USE)
     assert json.loads(use.value)["loads"][0][0] == names[7]
 
@@ -286,7 +286,7 @@
 def test_use_with_long_names_still_fits() -> None:
     sender = _exchange("n1", [])
     sender.meter.in_flight.update({"e" * 90 + str(i): 5 for i in range(40)})
-    sender._publish_use()
+    sender._publish_usage()
     (use,) = _published(sender, peers.FactKind.ACCOUNT_USE)
     value = json.loads(use.value)
     assert len(use.value) <= load_exchange.MAX_VALUE_BYTES
@@ -327,7 +327,7 @@
     receiver._on_state_fact("e1", state)
     _at(receiver, 100.5)
     changed = dataclasses.replace(use, value=json.dumps(value).encode())
-    receiver._on_use_fact("peer", changed)
+    receiver._on_usage_fact("peer", changed)
     (told,) = [call.args[0] for call in receiver.driver.notify.call_args_list]
     assert told == events.PeerLoad(100.5, "peer", {"e1": 2}, {})
     assert receiver._rows["e1"].row.sessions == 8
@@ -378,8 +378,8 @@
         _observe(exchange, f"engine-{i}")
     exchange.rank("e1")
     exchange._ranks = dict.fromkeys(exchange.directory.endpoints, 0)
-    assert exchange.use_interval_s() == pytest.approx(seconds)
-    exchange._publish_use()
+    assert exchange.usage_interval_s() == pytest.approx(seconds)
+    exchange._publish_usage()
     (use,) = _published(exchange, peers.FactKind.ACCOUNT_USE)
     assert len(use.value) <= exchange.max_value_bytes_now() == max_bytes
     assert len(json.loads(use.value)["in_flight"]) >= 3
--- a/tests/node/test_stop.py
+++ b/tests/node/test_stop.py
@@ -18,7 +18,7 @@
     answers still running. Leaving must begin with the signal.
     """
     node = mock.Mock()
-    node.once.running = set()
+    node.at_most_once.running = set()
     node.reconciler.close = mock.AsyncMock()
     node.lease.close = mock.AsyncMock(side_effect=asyncio.Event().wait)
     node.drain.run = mock.AsyncMock()
@@ -37,7 +37,7 @@
     node gives orders at once and not only when the lease runs out.
     """
     node = mock.Mock()
-    node.once.running = set()
+    node.at_most_once.running = set()
     node.reconciler.close = mock.AsyncMock()
     given_back = asyncio.Event()
     node.lease.close = mock.AsyncMock(side_effect=given_back.wait)
