--- a/tests/node/fake_stages.py
+++ b/tests/node/fake_stages.py
@@ -1,4 +1,4 @@
-"""Engines in memory that can be told to lose sessions at chosen steps."""
+"""In-memory engines that fail at chosen steps."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
     from almondshift.ports import engines
 
 
-def fold(*parts: object) -> int:
+def mix_hash(*parts: object) -> int:
     content = "/".join(str(part) for part in parts).encode()
     return int.from_bytes(hashlib.blake2b(content, digest_size=8).digest())
 
 
-def reference(
+def reference_tokens(
     layer_count: int, prompt: tuple[int, ...], count: int
 ) -> list[int]:
-    """Computes the right tokens directly."""
+    """Computes the expected tokens directly."""
     memory = [0] * layer_count
     tokens: list[int] = []
     pending = list(prompt)
@@ -37,7 +37,7 @@
         value = 0
         for value in pending:
             for layer in range(layer_count):
-                memory[layer] = fold(memory[layer], layer, position, value)
+                memory[layer] = mix_hash(memory[layer], layer, position, value)
                 value = memory[layer]
             position += 1
         tokens.append(value % 1000)
@@ -54,15 +54,15 @@
 
 
 class FakeStages(pipeline.StageCalls):
-    """Spare endpoints ``s0``, ``s1``... take over from those that fail.
+    """Replaces endpoints that fail by spare ones ``s1``, ``s2``...
 
     Attributes:
-        failures: Numbers of the steps, counted from 0, that fail, with the
-            way they fail: ``unknown`` (ran, answer lost), ``unreachable``,
-            ``leaving``, ``refused`` (does not hold the layers), ``wrong``
-            (session unknown) or ``split`` (as unknown, and two endpoints
-            take over).
-        ran: Steps that ran, by session and position.
+        failures: The kind of failure by step number, counted from 0:
+            ``unknown`` (ran, answer lost), ``unreachable``, ``leaving``,
+            ``refused`` (does not hold the layers), ``wrong`` (session
+            unknown) or ``split`` (as ``unknown``, and two endpoints replace
+            the failed one).
+        ran: How often each position ran, by session and position.
     """
 
     def __init__(self, layer_count: int, failures: dict[int, str]) -> None:
@@ -99,14 +99,14 @@
 
     def _run(self, endpoint: str, item: steps.StepItem) -> tuple[int, ...]:
         session = self.sessions.setdefault((endpoint, item.session), Session())
-        assert session.length == item.position, "a step out of order"
+        assert session.length == item.position, "step out of order"
         outputs = []
         for offset, value in enumerate(item.inputs):
             position = item.position + offset
             self.ran[item.session, position] += 1
             for layer in range(item.layers.start, item.layers.end):
                 before = session.memory[layer]
-                value = fold(before, layer, position, value)
+                value = mix_hash(before, layer, position, value)
                 session.memory[layer] = value
             last = item.layers.end == self.layer_count
             outputs.append(value % 1000 if last else value)
--- a/tests/node/test_coalescer.py
+++ b/tests/node/test_coalescer.py
@@ -42,13 +42,13 @@
 
 
 class Rig:
-    """A coalescer before an engine that holds each call until let go.
+    """A coalescer with an engine that blocks each call until released.
 
     Attributes:
         calls: Items of each call, in order.
-        gates: One for each call; its result is what the call returns.
+        gates: One future for each call; its result is the call's result.
         is_open: Whether calls are answered at once.
-        call_limit_s: Seconds that a call may take.
+        call_timeout_s: Time-out of a call in seconds.
     """
 
     def __init__(self, settings: coalescer.CoalescerSettings) -> None:
@@ -91,21 +91,21 @@
     ) -> asyncio.Task[step_queue.StepOutcome]:
         return asyncio.create_task(self.coalescer.submit(item))
 
-    async def wait_for(self, count: int) -> None:
+    async def wait_for_calls(self, count: int) -> None:
         await asynchronous.wait_until(lambda: len(self.calls) >= count)
 
-    async def fill(self) -> None:
-        """Makes two calls, so that what comes next has to wait."""
+    async def fill_calls(self) -> None:
+        """Starts the two allowed calls, so that further items are queued."""
         for number in (1, 2):
             self.submit(make_item(f"x{number}"))
-            await self.wait_for(number)
+            await self.wait_for_calls(number)
 
     def finish(self, index: int) -> None:
         results = [answer(item) for item in self.calls[index]]
         self.gates[index].set_result(expression.Ok(results))
 
     def finish_all(self) -> None:
-        """Lets all calls go, also those that come later."""
+        """Releases all calls, including later ones."""
         self.is_open = True
         for index, gate in enumerate(self.gates):
             if not gate.done():
@@ -148,12 +148,12 @@
     ids=["bounded", "all in one", "off"],
 )
 @asynchronous.run
-async def test_steps_travel_together(
+async def test_steps_are_batched(
     coalesce: bool, items: int, sizes: list[int]
 ) -> None:
     async with run_rig(items, coalesce) as rig:
         tasks = [rig.submit(make_item(f"s{n}")) for n in range(10)]
-        await rig.wait_for(1)
+        await rig.wait_for_calls(1)
         rig.finish_all()
         for task in tasks:
             assert (await task).ok.outputs == (1000,)
@@ -164,9 +164,9 @@
 
 
 @asynchronous.run
-async def test_steps_that_come_during_calls_wait_for_the_next_one() -> None:
+async def test_steps_arriving_during_calls_join_the_next_call() -> None:
     async with run_rig() as rig:
-        await rig.fill()
+        await rig.fill_calls()
         late = [
             rig.submit(make_item("c")),
             rig.submit(make_item("d")),
@@ -180,24 +180,24 @@
 
 
 @asynchronous.run
-async def test_long_input_does_not_hold_back_short_ones() -> None:
-    """A token of a running request waits for one small call at most.
+async def test_long_input_does_not_delay_short_ones() -> None:
+    """A token of a running request waits for at most one small call.
 
-    A prompt of 1,000 tokens is being taken in when a request that already
-    streams submits its next step. Sent whole, the prompt would hold the
-    engine for many times the wanted time between tokens.
+    A prompt of 1,000 tokens is being processed when a streaming request
+    submits its next step. Sent in one call, the prompt would block the
+    engine for many times the target time between tokens.
     """
     async with run_rig() as rig:
         prompt = rig.submit(make_item("long", 1000))
-        await rig.wait_for(1)
+        await rig.wait_for_calls(1)
         token = rig.submit(make_item("short"))
-        await rig.wait_for(2)
+        await rig.wait_for_calls(2)
         rig.finish(0)
-        await rig.wait_for(3)
+        await rig.wait_for_calls(3)
         more = [rig.submit(make_item(f"s{n}")) for n in range(8)]
         await asyncio.sleep(0)
         rig.finish(2)
-        await rig.wait_for(4)
+        await rig.wait_for_calls(4)
         rig.finish_all()
         result = (await prompt).ok
         shorts = await asyncio.gather(token, *more)
@@ -214,7 +214,7 @@
 async def test_portions_of_one_input_never_overlap() -> None:
     async with run_rig() as rig:
         task = rig.submit(make_item("long", 100))
-        await rig.wait_for(1)
+        await rig.wait_for_calls(1)
         rig.finish_all()
         await task
 
@@ -238,17 +238,17 @@
     kind: str,
     ran_before: bool,
 ) -> None:
-    """Each caller of the call sees its error, if that is true for it.
+    """All items of a failed call get its error, unless they ran in part.
 
-    A long input of which one portion ran before the call failed did run in
-    part. "Not run" would be false for it.
+    If a portion of a long input ran before the call failed, "not run" would
+    be wrong for that input.
     """
     async with run_rig() as rig:
         task = rig.submit(make_item("long", 64))
-        await rig.wait_for(1)
+        await rig.wait_for_calls(1)
         if ran_before:
             rig.finish(0)
-            await rig.wait_for(2)
+            await rig.wait_for_calls(2)
         result: expression.Result[Any, Any] = expression.Error(failure)
         if isinstance(failure, Status):
             result = expression.Ok([answer(rig.calls[-1][0], failure)])
@@ -278,15 +278,16 @@
 async def test_result_of_another_item_is_dropped(
     changes: dict[str, Any] | None,
 ) -> None:
-    """No caller gets what answers another step.
+    """No caller gets the result of another step.
 
-    The engine crosses an answer. Its caller sees an unknown outcome, the
-    other caller in the call gets its own answer, and the drop is counted.
-    If a result is missing, it can't be told whose, and all are dropped.
+    The engine returns a result that doesn't match its item. That caller gets
+    an unknown outcome, the other caller gets its own result, and the dropped
+    result is counted. If a result is missing, results can't be assigned to
+    items, and all are dropped.
     """
     async with run_rig() as rig:
         tasks = [rig.submit(make_item(name)) for name in "ac"]
-        await rig.wait_for(1)
+        await rig.wait_for_calls(1)
         first, second = (answer(item) for item in rig.calls[0])
         results = [second]
         if changes:
@@ -304,16 +305,16 @@
     [(True, [["gone", "stays"]]), (False, [["x1"], ["x2"], ["stays"]])],
 )
 @asynchronous.run
-async def test_cancelled_waiter_leaves_others_alone(
+async def test_cancelled_waiter_does_not_affect_others(
     is_sent: bool, sessions: list[list[str]]
 ) -> None:
     async with run_rig() as rig:
         if not is_sent:
-            await rig.fill()
+            await rig.fill_calls()
         gone = rig.submit(make_item("gone"))
         stays = rig.submit(make_item("stays"))
         await asyncio.sleep(0)
-        await rig.wait_for(1)
+        await rig.wait_for_calls(1)
         gone.cancel()
         await asyncio.gather(gone, return_exceptions=True)
         rig.finish_all()
@@ -331,14 +332,14 @@
 )
 @pytest.mark.parametrize("ending", ["timeout", "close", "closed before"])
 @asynchronous.run
-async def test_giving_up_says_whether_it_was_sent(
+async def test_unanswered_item_reports_whether_it_was_sent(
     is_sent: bool, error: type[errors.AlmondshiftError], ending: str
 ) -> None:
     async with run_rig() as rig:
         if ending == "timeout":
             rig.call_timeout_s = 0.1
         if not is_sent:
-            await rig.fill()
+            await rig.fill_calls()
         if ending == "closed before":
             await rig.coalescer.close()
             error = errors.EndpointUnreachable
--- a/tests/node/test_directory.py
+++ b/tests/node/test_directory.py
@@ -43,11 +43,11 @@
     endpoints.VmState.LIVE,
 )
 REPORT_S = 1.0
-"""Longer than the pause between two reports of an engine."""
+"""Longer than the interval between two load reports of an engine."""
 
 
 class FakeList(vm_lists.VmList):
-    """Shows one engine in a state; None for a list without it."""
+    """Lists one engine in ``state``, or none if it is None."""
 
     def __init__(self) -> None:
         self.state: endpoints.VmState | None = endpoints.VmState.LIVE
@@ -61,14 +61,14 @@
 
 
 class Rig:
-    """A directory of one engine, with the router that it tells."""
+    """A directory of one engine, with the router that it notifies."""
 
     def __init__(self) -> None:
         self.clock = clocks.VirtualClock()
         self.list = FakeList()
         self.engine = mock.create_autospec(engines.Engine, instance=True)
         self.engine.cache_events.return_value = expression.Ok([])
-        self.run_as("i1")
+        self.answer_as_instance("i1")
         factory = mock.create_autospec(engines.EngineFactory, instance=True)
         factory.build.return_value = self.engine
         self.publish = mock.Mock()
@@ -94,8 +94,8 @@
             self.directory, self.driver, guard
         )
 
-    def run_as(self, instance: str) -> None:
-        """Has the engine answer as an instance that holds all layers."""
+    def answer_as_instance(self, instance: str) -> None:
+        """Makes the engine answer as an instance that holds all layers."""
         described = fleets.seen("e").description
         assert described is not None
         self.engine.describe.return_value = expression.Ok(
@@ -107,24 +107,24 @@
     async def start(self) -> None:
         config = fleets.make_fleet()
         self.driver.notify(events.FleetChanged(self.clock.now, config))
-        await self.show(endpoints.VmState.LIVE)
+        await self.show_state(endpoints.VmState.LIVE)
 
-    async def show(self, state: endpoints.VmState | None) -> None:
-        """Has the list show a state once, and the engine report."""
+    async def show_state(self, state: endpoints.VmState | None) -> None:
+        """Reads a list with a state and waits for a load report."""
         self.list.state = state
         await self.directory.refresh()
         await self.clock.advance(REPORT_S)
 
-    def move(self) -> events.StageFailed:
-        """Returns the wish to move a stage off the engine, as it leaves."""
+    def move_failure(self) -> events.StageFailed:
+        """Returns a request to move a stage off the leaving engine."""
         reason = events.FailureReason.LEAVING
         return events.StageFailed(self.clock.now, "r1", CHAIN, 0, reason, 9)
 
     async def move_stage_away(self) -> None:
-        """Moves a running stage off the engine, as it is leaving."""
+        """Moves a running stage off the leaving engine."""
         decided = actions.Replace("r1", 0, CHAIN.stages)
         with mock.patch.object(self.driver, "decide", return_value=decided):
-            await self.calls.replace(self.move())
+            await self.calls.replace(self.move_failure())
 
     async def answer_step(self, status: steps.StepStatus) -> None:
         calls = mock.create_autospec(coalescer.Coalescer, instance=True)
@@ -134,21 +134,21 @@
 
 
 @asynchronous.run
-async def test_the_lists_word_ends_with_the_list() -> None:
-    """The VM list calls an engine leaving, and later live again.
-
-    An engine that was replaced under its name looks so while the lagging
-    list still shows the one before it. Meanwhile a running request is moved
-    off it. Callers then had the engine's layers from fewer engines for five
-    minutes: the node took the move for the engine's own word, which outlives
-    the list's, and told its peers.
+async def test_leaving_state_of_the_list_ends_with_the_list() -> None:
+    """The VM list shows an engine as leaving, and later as live again.
+
+    This happens when an engine was replaced under its name and the list
+    still shows the former one. Meanwhile a running request is moved off the
+    engine. The node used to count the move as the engine's own report of
+    leaving, which outlives the list's, and announced it to its peers, so
+    that the engine got no new work for five minutes.
     """
     rig = Rig()
     await rig.start()
-    await rig.show(endpoints.VmState.LEAVING)
+    await rig.show_state(endpoints.VmState.LEAVING)
     assert rig.directory.is_leaving("e")
     await rig.move_stage_away()
-    await rig.show(endpoints.VmState.LIVE)
+    await rig.show_state(endpoints.VmState.LIVE)
     assert not rig.directory.is_leaving("e")
     assert rig.router.service_ready("chat")
     assert not rig.publish.called
@@ -164,20 +164,20 @@
     ],
 )
 @asynchronous.run
-async def test_an_engines_own_word_stands_against_the_list(
+async def test_an_engines_own_report_overrides_the_list(
     status: steps.StepStatus, is_leaving: bool
 ) -> None:
-    """An engine refuses a step, as it leaves; the list still calls it live.
+    """A leaving engine refuses a step; the list still shows it as live.
 
-    New requests must not go there from then on, and peers are told, since
-    the list shows it only seconds later.
+    From then on it must get no new requests, and peers are notified, since
+    the list shows the change only seconds later.
     """
     rig = Rig()
     await rig.start()
     await rig.answer_step(status)
     if status is steps.StepStatus.LEAVING:
         await rig.move_stage_away()
-    await rig.show(endpoints.VmState.LIVE)
+    await rig.show_state(endpoints.VmState.LIVE)
     assert rig.directory.is_leaving("e") is is_leaving
     assert rig.router.service_ready("chat") is not is_leaving
     assert rig.publish.called is is_leaving
@@ -202,23 +202,23 @@
     ],
 )
 @asynchronous.run
-async def test_the_router_takes_up_an_engine_that_came_back(
+async def test_router_uses_an_engine_that_came_back(
     shown: tuple[endpoints.VmState | str | None, ...],
 ) -> None:
-    """An engine comes back under its name while the list is behind.
+    """An engine comes back under its name while the list is outdated.
 
-    The list shows the former one leaving, perhaps a gap, then the new one.
-    Callers were refused for want of a whole chain, without end, though the
-    node knew that the engine stays: it went on telling its router the
-    state that the list had last shown before the gap.
+    The list shows the former one as leaving, perhaps a gap, then the new
+    one. The node knew that the engine stays, but kept passing its router the
+    last state in the list before the gap, so that callers were refused
+    indefinitely for lack of a complete chain.
     """
     rig = Rig()
     await rig.start()
     for state in shown:
         if isinstance(state, endpoints.VmState | None):
-            await rig.show(state)
+            await rig.show_state(state)
         else:
-            rig.run_as(state)
+            rig.answer_as_instance(state)
             await rig.clock.advance(REPORT_S)
     assert not rig.directory.is_leaving("e")
     assert rig.router.service_ready("chat")
@@ -226,19 +226,19 @@
 
 
 @asynchronous.run
-async def test_a_move_decided_late_keeps_no_engine_out_of_use() -> None:
-    """A stage is to be moved off an engine as the list takes its word back.
+async def test_late_move_does_not_exclude_an_engine() -> None:
+    """A stage is moved off an engine that the list no longer shows as leaving.
 
-    The move waits for leave to go on, and the router hears of it after it
-    was told that the engine stays. It took the move for news of the engine
-    and passed it over without end, and callers were refused.
+    The move is delayed, so that the router receives it after the
+    notification that the engine stays. The router used to mark the engine as
+    leaving again and skip it for ever, and callers were refused.
     """
     rig = Rig()
     await rig.start()
-    await rig.show(endpoints.VmState.LEAVING)
-    await rig.show(endpoints.VmState.LIVE)
-    await rig.calls.replace(rig.move())
-    await rig.show(endpoints.VmState.LIVE)
+    await rig.show_state(endpoints.VmState.LEAVING)
+    await rig.show_state(endpoints.VmState.LIVE)
+    await rig.calls.replace(rig.move_failure())
+    await rig.show_state(endpoints.VmState.LIVE)
     assert not rig.directory.is_leaving("e")
     assert rig.router.service_ready("chat")
     await rig.directory.close()
@@ -246,12 +246,12 @@
 
 @asynchronous.run
 async def test_an_endpoint_first_seen_as_leaving_gets_no_work() -> None:
-    """A node starts and reads a list that calls an engine leaving.
+    """A starting node reads a list that shows an engine as leaving.
 
-    No request may go there, also before the engine has said so itself.
+    The engine must get no request, even before it reports leaving itself.
     """
     rig = Rig()
-    await rig.show(endpoints.VmState.LEAVING)
+    await rig.show_state(endpoints.VmState.LEAVING)
     rig.driver.notify(events.FleetChanged(rig.clock.now, fleets.make_fleet()))
     assert rig.directory.is_leaving("e")
     assert not rig.router.service_ready("chat")
--- a/tests/node/test_gateway.py
+++ b/tests/node/test_gateway.py
@@ -19,11 +19,11 @@
 PEER = ports.EntryAddress("10.0.0.2:80", "za")
 TOKENS = 400
 TOKEN_S = 0.1
-"""Pace of the answers that the node gave lately."""
+"""Time per token in the node's recent answers."""
 
 
 class Rig:
-    """A gateway whose node has 10 s from the stop until it cuts."""
+    """A gateway of a node with a grace period of 10 s."""
 
     def __init__(self) -> None:
         self.clock = clocks.VirtualClock()
@@ -45,7 +45,7 @@
             lambda service, tokens: tokens * TOKEN_S,
         )
 
-    def wanted(self, tokens: int, deadline_s: float) -> ports.Admission:
+    def admission(self, tokens: int, deadline_s: float) -> ports.Admission:
         deadline = self.clock.monotonic() + deadline_s
         return ports.Admission("r1", "chat", tokens, deadline)
 
@@ -55,19 +55,20 @@
     [(TOKENS, 60.0, False), (TOKENS, 5.0, True), (20, 60.0, True)],
 )
 @asynchronous.run
-async def test_a_leaving_node_sends_long_requests_elsewhere(
+async def test_draining_node_refuses_long_requests(
     tokens: int, deadline_s: float, taken: bool
 ) -> None:
-    """A caller brings a request within the hold time of a node that stops.
+    """A request arrives within the hold time of a stopping node.
 
-    One that takes longer than the node lives is refused as not run, with
-    the address of another node; it was run and cut before. A short one, or
-    one that its caller soon gives up, is taken, as the hold time promises.
+    A request that takes longer than the node's remaining time is refused as
+    not run, with the address of another node; it used to be started and then
+    cut off. A short request, or one with a short deadline, is admitted, as
+    the hold time promises.
     """
     rig = Rig()
     stopping = asyncio.create_task(rig.drain.run())
     await rig.clock.advance(1.0)
-    result = rig.gateway.begin(rig.wanted(tokens, deadline_s), mock.Mock())
+    result = rig.gateway.begin(rig.admission(tokens, deadline_s), mock.Mock())
     assert result.is_ok() is taken
     if not taken:
         assert result.error.execution is errors.Execution.NOT_RUN
--- a/tests/node/test_load_exchange.py
+++ b/tests/node/test_load_exchange.py
@@ -76,11 +76,11 @@
     return first, second
 
 
-def _at(exchange: load_exchange.LoadExchange, now: float) -> None:
+def _set_time(exchange: load_exchange.LoadExchange, now: float) -> None:
     exchange.clock.monotonic.return_value = now
 
 
-def _observe(
+def _set_report(
     exchange: load_exchange.LoadExchange, name: str, **changes: object
 ) -> None:
     report = dataclasses.replace(REPORT, endpoint=name, **changes)
@@ -114,17 +114,17 @@
             receiver._on_usage_fact("peer", fact)
 
 
-def _taken(
+def _applied_reports(
     exchange: load_exchange.LoadExchange,
 ) -> list[endpoints.LoadReport]:
     calls = exchange.directory.take_peer_report.call_args_list
     return [call.args[0] for call in calls]
 
 
-def test_a_report_arrives_as_it_was_told_and_older() -> None:
-    # A report told by a peer must reach the router as the engine gave it,
-    # with the time on the way added to its age; else old news would count
-    # as fresh. It once failed to decode, and ended the exchange with it.
+def test_report_arrives_unchanged_with_increased_age() -> None:
+    # A report published by a peer must reach the router unchanged, with the
+    # transit time added to its age; otherwise stale loads would count as
+    # fresh. A report that failed to decode once ended the whole exchange.
     sender, receiver = _publisher_and_other()
     sender._publish_states()
     kind, key, value, ttl_s = sender.membership.publish.call_args.args
@@ -135,7 +135,7 @@
     assert report.holdings == REPORT.holdings
 
 
-def test_use_of_accounts_and_loss_of_a_peer_reach_the_router() -> None:
+def test_usage_and_peer_loss_reach_the_router() -> None:
     sender = _exchange("n1", ["n2"])
     sender._publish_usage()
     kind, key, value, ttl_s = sender.membership.publish.call_args.args
@@ -150,9 +150,9 @@
 
 
 @pytest.mark.parametrize("nodes", [1, 2, 3, 9, 40])
-def test_one_node_tells_of_an_engine(nodes: int) -> None:
-    # Three watchers that each told of 820 engines filled the exchange of
-    # 390 nodes, and the loads of most engines reached nobody.
+def test_only_one_node_publishes_an_engine(nodes: int) -> None:
+    # When three watchers published each of 820 engines, the exchange of 390
+    # nodes was full, and the loads of most engines reached no other node.
     names = [f"n{i}" for i in range(nodes)]
     told = 0
     for name in names:
@@ -163,19 +163,20 @@
 
 
 def test_the_next_watcher_takes_over() -> None:
-    # The node that tells of an engine is lost. Without the next one telling
-    # at once, callers' work would go by old loads for minutes.
+    # The node that publishes an engine is lost. If the next one didn't
+    # publish at once, requests would be routed by stale loads for minutes.
     sender, other = _publisher_and_other()
     other._publish_states()
     assert not _published(other, peers.FactKind.ENGINE_LOAD)
     other.membership.peers.return_value = []
-    _at(other, 101.0)
+    _set_time(other, 101.0)
     other._publish_states()
     assert len(_published(other, peers.FactKind.ENGINE_LOAD)) == 1
 
 
-def test_a_watcher_that_is_first_again_tells_the_state_again() -> None:
-    # Meanwhile the next watcher told another state, which would stand.
+def test_watcher_that_is_first_again_republishes_the_state() -> None:
+    # The next watcher published another state in the meantime, which would
+    # otherwise remain in effect.
     sender, _ = _publisher_and_other()
     alone = sender.membership.peers.return_value
     sender._publish_states()
@@ -183,10 +184,10 @@
     sender.membership.peers.return_value = [
         dataclasses.replace(alone[0], name=better)
     ]
-    _at(sender, 101.0)
+    _set_time(sender, 101.0)
     sender._publish_states()
     sender.membership.peers.return_value = alone
-    _at(sender, 102.0)
+    _set_time(sender, 102.0)
     sender.membership.publish.reset_mock()
     sender._publish_states()
     assert len(_published(sender, peers.FactKind.ENGINE_LOAD)) == 1
@@ -210,33 +211,33 @@
         ({"order_number": 8}, 1.0, 1),
     ],
 )
-def test_a_state_is_told_when_it_changes_and_seldom_else(
+def test_state_is_published_on_change_or_after_an_interval(
     changes: dict[str, object], after_s: float, told: int
 ) -> None:
     sender, _ = _publisher_and_other()
     sender._publish_states()
     sender.membership.publish.reset_mock()
-    _at(sender, 100.0 + after_s)
-    _observe(sender, "e1", **changes)
+    _set_time(sender, 100.0 + after_s)
+    _set_report(sender, "e1", **changes)
     sender._publish_states()
     assert len(_published(sender, peers.FactKind.ENGINE_LOAD)) == told
 
 
 @pytest.mark.parametrize("state_first", [True, False])
-def test_numbers_and_state_are_joined_with_the_age_of_the_numbers(
+def test_merged_report_has_the_age_of_the_counts(
     state_first: bool,
 ) -> None:
-    # The state was told a minute ago, the numbers now: a router that took
-    # the state's age would leave the engine out as long not heard of.
+    # The state was published a minute ago, the counts just now. With the age
+    # of the state the router would exclude the engine as stale.
     sender, receiver = _publisher_and_other()
     sender._publish_states()
     (state,) = _published(sender, peers.FactKind.ENGINE_LOAD)
-    _at(sender, 160.0)
-    _observe(sender, "e1", sessions=9, queued_items=4)
-    _at(sender, 161.0)
+    _set_time(sender, 160.0)
+    _set_report(sender, "e1", sessions=9, queued_items=4)
+    _set_time(sender, 161.0)
     sender._publish_usage()
     (use,) = _published(sender, peers.FactKind.ACCOUNT_USE)
-    _at(receiver, 162.0)
+    _set_time(receiver, 162.0)
     state = dataclasses.replace(state, ttl_s=state.ttl_s - 62.0)
     use = dataclasses.replace(use, ttl_s=use.ttl_s - 1.0)
     if state_first:
@@ -244,46 +245,46 @@
     receiver._on_usage_fact("peer", use)
     if not state_first:
         receiver._on_state_fact("e1", state)
-    last = _taken(receiver)[-1]
+    last = _applied_reports(receiver)[-1]
     assert (last.sessions, last.queued_items) == (9, 4)
     assert last.age_s == pytest.approx(2.5)
     assert last.holdings == REPORT.holdings
 
 
-def test_numbers_of_a_former_instance_are_not_joined() -> None:
+def test_counts_of_a_former_instance_are_not_merged() -> None:
     sender, receiver = _publisher_and_other()
     sender.publish()
     _deliver(sender, receiver)
-    _at(sender, 102.0)
-    _at(receiver, 102.0)
-    _observe(sender, "e1", instance="new", sessions=50)
+    _set_time(sender, 102.0)
+    _set_time(receiver, 102.0)
+    _set_report(sender, "e1", instance="new", sessions=50)
     sender._publish_usage()
     _deliver(sender, receiver)
-    assert all(report.sessions == 3 for report in _taken(receiver))
+    assert all(report.sessions == 3 for report in _applied_reports(receiver))
 
 
-def test_numbers_that_do_not_fit_are_left_out_most_changed_first() -> None:
-    # One node tells of more engines than a fact holds. None may be left out
-    # for ever, and what changed most must be known first.
+def test_most_changed_counts_are_published_first() -> None:
+    # One node publishes more engines than fit into a fact. None may be left
+    # out for ever, and the most changed one has to be published first.
     sender = _exchange("n1", [])
     names = [f"a-rather-long-name-of-an-engine-{i}" for i in range(200)]
     for name in names:
-        _observe(sender, name)
+        _set_report(sender, name)
     told: set[str] = set()
     for second in range(20):
-        _at(sender, 101.0 + second)
+        _set_time(sender, 101.0 + second)
         sender._publish_usage()
         (use,) = _published(sender, peers.FactKind.ACCOUNT_USE)
         assert len(use.value) <= load_exchange.MAX_VALUE_BYTES
         told |= {row[0] for row in json.loads(use.value)["loads"]}
     assert told == {"e1", *names}
-    _observe(sender, names[7], sessions=40)
+    _set_report(sender, names[7], sessions=40)
     sender._publish_usage()
     (use,) = _published(sender, peers.FactKind.ACCOUNT_USE)
     assert json.loads(use.value)["loads"][0][0] == names[7]
 
 
-def test_use_with_long_names_still_fits() -> None:
+def test_usage_with_long_names_fits() -> None:
     sender = _exchange("n1", [])
     sender.meter.in_flight.update({"e" * 90 + str(i): 5 for i in range(40)})
     sender._publish_usage()
@@ -309,10 +310,10 @@
         ("load", "full"),
     ],
 )
-def test_one_bad_number_leaves_the_others(part: str, bad: object) -> None:
-    # A peer of another version tells something that makes no sense here.
+def test_invalid_value_does_not_discard_others(part: str, bad: object) -> None:
+    # A peer of another version publishes a value that is invalid here.
     sender, receiver = _publisher_and_other()
-    _observe(sender, "e1", sessions=8)
+    _set_report(sender, "e1", sessions=8)
     sender.meter.in_flight.update({"e1": 2})
     sender.publish()
     (state,) = _published_keeping(sender, peers.FactKind.ENGINE_LOAD)
@@ -325,7 +326,7 @@
     else:
         value.setdefault(part, {})["other"] = bad
     receiver._on_state_fact("e1", state)
-    _at(receiver, 100.5)
+    _set_time(receiver, 100.5)
     changed = dataclasses.replace(use, value=json.dumps(value).encode())
     receiver._on_usage_fact("peer", changed)
     (told,) = [call.args[0] for call in receiver.driver.notify.call_args_list]
@@ -342,9 +343,9 @@
     return found
 
 
-def test_a_state_that_cannot_be_told_leaves_the_others() -> None:
+def test_failed_publication_does_not_affect_others() -> None:
     sender = _exchange("n1", [])
-    _observe(sender, "e2")
+    _set_report(sender, "e2")
 
     def refuse_first(kind: object, key: str, *_: object) -> None:
         if key == "e1":
@@ -367,15 +368,15 @@
         (400, 20.0, 200),
     ],
 )
-def test_use_is_stated_less_often_and_shorter_with_more_nodes(
+def test_usage_facts_become_rarer_and_shorter_with_more_nodes(
     nodes: int, seconds: float, max_bytes: int
 ) -> None:
-    # With statements as long and as frequent as in a small system, those of
-    # 81 nodes did not fit through the exchange, and all got old.
+    # With facts as long and as frequent as in a small system, those of 81
+    # nodes exceeded the capacity of the exchange, and all became stale.
     exchange = _exchange("n0", [f"n{i}" for i in range(1, nodes)])
     exchange.meter.in_flight.update({f"engine-{i}": 9 for i in range(40)})
     for i in range(40):
-        _observe(exchange, f"engine-{i}")
+        _set_report(exchange, f"engine-{i}")
     exchange.rank("e1")
     exchange._ranks = dict.fromkeys(exchange.directory.endpoints, 0)
     assert exchange.usage_interval_s() == pytest.approx(seconds)
@@ -386,9 +387,8 @@
     assert len(json.loads(use.value)["loads"]) >= 3
 
 
-def test_places_follow_the_nodes_that_come_and_go() -> None:
-    # A place that drifted would leave an engine with no node that tells of
-    # it, or with many.
+def test_ranks_follow_joining_and_leaving_nodes() -> None:
+    # With a wrong rank, no node would publish an engine, or several would.
     exchange = _exchange("n0", [])
     rng = random.Random(7)
     every = _exchange("n0", [f"n{i}" for i in range(1, 30)])
@@ -396,7 +396,7 @@
     for second in range(20):
         alive = rng.sample(others, rng.randrange(len(others)))
         exchange.membership.peers.return_value = alive
-        _at(exchange, 200.0 + second)
+        _set_time(exchange, 200.0 + second)
         fresh = _exchange("n0", [peer.name for peer in alive])
         for engine in ("e1", "e2", "e3", f"e{second}"):
             assert exchange.rank(engine) == fresh.rank(engine)
--- a/tests/node/test_objectives.py
+++ b/tests/node/test_objectives.py
@@ -34,7 +34,7 @@
     return clock, counts
 
 
-def _bad(counts: objectives.ObjectiveCounts) -> list[int]:
+def _bad_counts(counts: objectives.ObjectiveCounts) -> list[int]:
     snapshot = SNAPSHOT.validate_json(json.dumps(counts.snapshot()))
     return [
         sum(c.count for c in window.counts if c.cause)
@@ -58,12 +58,12 @@
     clock, counts = _counts()
     counts.record_whole("advice", "members-app", "overloaded")
     clock.now += age_s
-    assert _bad(counts) == seen
+    assert _bad_counts(counts) == seen
     counts.record_whole("advice", "members-app")
-    assert _bad(counts) == seen
+    assert _bad_counts(counts) == seen
 
 
-def test_times_are_judged_by_the_service_s_objectives() -> None:
+def test_latencies_are_compared_with_the_service_objectives() -> None:
     _, counts = _counts()
     for seconds in (0.39, 0.41):
         counts.record_first_token("advice", "members-app", seconds)
@@ -85,7 +85,7 @@
         counts.record_whole("advice", f"account-{i}", "overloaded")
     (bucket,) = counts.fine.buckets
     assert len(bucket.counts) <= objectives.MAX_KEYS + 1
-    assert _bad(counts) == [objectives.MAX_KEYS * 3] * 4
+    assert _bad_counts(counts) == [objectives.MAX_KEYS * 3] * 4
     for _ in range(objectives.COARSE_BUCKETS * 2):
         clock.now += objectives.COARSE_BUCKET_S
         counts.record_whole("advice", "members-app")
--- a/tests/node/test_pipeline.py
+++ b/tests/node/test_pipeline.py
@@ -83,7 +83,7 @@
 
 
 def _expected() -> list[int]:
-    return fake_stages.reference(LAYERS, PROMPT, TOKENS)
+    return fake_stages.reference_tokens(LAYERS, PROMPT, TOKENS)
 
 
 KINDS = ("unknown", "unreachable", "wrong", "split", "leaving", "refused")
@@ -93,9 +93,9 @@
 @pytest.mark.parametrize("kind", KINDS)
 @pytest.mark.parametrize("step", [0, 1, 2, 3, 7, 20, 35])
 def test_one_stage_lost(step: int, kind: str, keep: bool) -> None:
-    # The caller sees the right tokens, each once, though one step of one
-    # stage fails: in prefill or decode, run or not run. A session that
-    # failed is never stepped again, since it may have run the step.
+    # The caller gets the expected tokens, each once, although one step of
+    # one stage fails, in prefill or decode, run or not run. A failed session
+    # is never used again, since it may have run the step.
     stages = fake_stages.FakeStages(LAYERS, {step: kind})
     work = _pipeline(stages, keep=keep)
     assert _collect(work) == _expected()
@@ -105,8 +105,8 @@
 
 
 def test_replay_touches_only_the_replaced_stage() -> None:
-    # The last stage is lost in decode. Its inputs were kept, so that only
-    # its own session is new; the other stages run each position once.
+    # The last stage is lost in decode. Its inputs were kept, so only its own
+    # session is replaced; the other stages run each position once.
     stages = fake_stages.FakeStages(LAYERS, {20: "unknown"})
     work = _pipeline(stages)
     assert _collect(work) == _expected()
@@ -115,8 +115,8 @@
     assert not work.recoveries[0].restarted
 
 
-def test_bounded_memory_restarts_from_the_tokens() -> None:
-    # No room for kept inputs: the lost stage can't be replayed by itself,
+def test_recovery_without_kept_inputs_restarts_from_the_tokens() -> None:
+    # Without memory for kept inputs the lost stage can't be replayed alone,
     # so all stages before it run again from the tokens. The answer is the
     # same; only the time differs.
     stages = fake_stages.FakeStages(LAYERS, {20: "unknown"})
@@ -144,9 +144,9 @@
     leaving: set[str],
     move_ok: bool,
 ) -> None:
-    # Stages are lost any number of times, also while one is being replayed,
-    # endpoints leave with and without a KV copy, and memory is short. The
-    # caller sees the reference's tokens, whatever the order of events.
+    # Stages are lost any number of times, also during a replay, endpoints
+    # leave with and without a KV copy, and memory is short. The caller gets
+    # the reference tokens in any order of events.
     stages = fake_stages.FakeStages(LAYERS, failures)
     stages.leaving = leaving
     stages.move_ok = move_ok
@@ -156,9 +156,9 @@
     assert work.budget.used_bytes == 0
 
 
-def test_all_sessions_are_dropped_when_the_caller_goes() -> None:
-    # The caller closes its connection after two tokens: every engine session
-    # is cancelled, else it would hold KV memory until evicted.
+def test_all_sessions_are_cancelled_when_the_caller_disconnects() -> None:
+    # The caller disconnects after two tokens. Every engine session has to be
+    # cancelled; otherwise it would occupy KV memory until evicted.
     stages = fake_stages.FakeStages(LAYERS, {})
     work = _pipeline(stages)
 
@@ -173,10 +173,10 @@
     assert work.budget.used_bytes == 0
 
 
-def test_refusals_in_a_row_wait_longer_each_time() -> None:
+def test_consecutive_refusals_back_off_exponentially() -> None:
     # Engines are being replaced, and those known to hold the stage refuse it
     # until their reports catch up. The caller gets its answer a little late;
-    # asked again at once they would use up the request's repeats.
+    # immediate retries would use up the request's retries.
     refused = dict.fromkeys(range(3, 9), "refused")
     stages = fake_stages.FakeStages(LAYERS, refused)
     work = _pipeline(stages)
@@ -186,8 +186,8 @@
 
 
 def test_deadline_ends_the_work() -> None:
-    # The deadline passes between tokens; the caller is told so, and nothing
-    # more is sent to the engines.
+    # The deadline passes between tokens; the caller gets an error, and
+    # nothing more is sent to the engines.
     stages = fake_stages.FakeStages(LAYERS, {})
     work = _pipeline(stages)
     work.request = _request(deadline_s=-1.0)
--- a/tests/node/test_reconciler.py
+++ b/tests/node/test_reconciler.py
@@ -79,7 +79,7 @@
     ("at", "plain_ready", "plans"),
     [(0.9, set(), 1), (0.9, {"portal"}, 2), (1.1, set(), 2)],
 )
-def test_plans_again_only_on_change_or_after_a_time(
+def test_replans_only_on_change_or_after_an_interval(
     at: float, plain_ready: set[str], plans: int
 ) -> None:
     rig = Rig()
@@ -89,7 +89,7 @@
     assert rig.planner.plan.call_count == plans
 
 
-def test_an_order_is_given_again_until_the_engine_reports_it() -> None:
+def test_order_is_resent_until_the_engine_reports_it() -> None:
     rig = Rig(placement.PlannedOrder("e1", ORDER))
     for at in (0.0, 1.0, 2.5):
         rig.reconcile(at)
@@ -97,9 +97,9 @@
     assert rig.engine.order.call_args.args[0].fencing == 7
 
 
-def test_a_lease_lost_between_plan_and_order_gives_no_order() -> None:
-    # The holder is paused after it planned. When it wakes up its lease is
-    # over, and an order now would undo what the new holder decided.
+def test_lease_lost_after_planning_sends_no_order() -> None:
+    # The holder is paused after planning. When it resumes, its lease has
+    # expired, and an order would undo the decisions of the new holder.
     rig = Rig(placement.PlannedOrder("e1", ORDER))
     rig.guard.numbers = [7, None]
     rig.reconcile(0.0)
--- a/tests/node/test_shared_vm_list.py
+++ b/tests/node/test_shared_vm_list.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-OLD = endpoints.Vm(
+LISTED_VM = endpoints.Vm(
     "e1",
     "127.0.0.1:1",
     "za",
@@ -28,7 +28,7 @@
 
 
 class FakePlatform(vm_lists.VmList):
-    """Answers with ``vms``, or not at all while it is None."""
+    """Answers with ``vms``, or fails while it is None."""
 
     def __init__(self, vms: list[endpoints.Vm] | None) -> None:
         self.vms = vms
@@ -37,7 +37,9 @@
         self,
     ) -> expression.Result[list[endpoints.Vm], errors.StoreUnavailable]:
         if self.vms is None:
-            return expression.Error(errors.StoreUnavailable("It is away."))
+            return expression.Error(
+                errors.StoreUnavailable("The platform is down.")
+            )
         return expression.Ok(self.vms)
 
 
@@ -46,7 +48,7 @@
 
 
 class FakeMembership:
-    """One peer that answers with ``body``; None for silence."""
+    """One peer that answers with ``body``, or not at all if it is None."""
 
     def __init__(self, body: bytes | None) -> None:
         self.body = body
@@ -64,7 +66,7 @@
     ) -> expression.Result[bytes, errors.PeerUnreachable]:
         self.asked += 1
         if self.body is None:
-            return expression.Error(errors.PeerUnreachable("It is silent."))
+            return expression.Error(errors.PeerUnreachable("No answer."))
         return expression.Ok(self.body)
 
 
@@ -81,7 +83,7 @@
 @pytest.mark.parametrize(
     ("body", "found"),
     [
-        (msgspec.json.encode([OLD]), [OLD]),
+        (msgspec.json.encode([LISTED_VM]), [LISTED_VM]),
         (b"[]", None),
         (b"not a list", None),
         (None, None),
@@ -91,10 +93,10 @@
 async def test_first_list_comes_from_a_peer(
     body: bytes | None, found: list[endpoints.Vm] | None
 ) -> None:
-    """A node starts while the platform is away.
+    """A node starts while the platform is unavailable.
 
-    Without a peer's list it would know no endpoint and refuse its callers; a
-    peer that knows nothing or answers nonsense leaves it as it was.
+    Without a peer's list it would know no endpoint and refuse its callers.
+    An empty or invalid answer of a peer must be ignored.
     """
     listed = await create(FakePlatform(None), FakeMembership(body)).list()
     assert listed.is_ok() == (found is not None)
@@ -102,16 +104,16 @@
 
 
 @asynchronous.run
-async def test_platform_goes_before_peers() -> None:
-    """The platform comes back, and goes again.
+async def test_platform_list_takes_precedence_over_peers() -> None:
+    """The platform recovers and fails again.
 
-    Its list replaces the peer's; the second outage leaves the node with it
-    and asks nobody, since a peer's list could be older.
+    Its list replaces the peer's. In the second outage the node keeps it and
+    asks no peer, since a peer's list could be older.
     """
     platform = FakePlatform(None)
-    membership = FakeMembership(msgspec.json.encode([OLD]))
+    membership = FakeMembership(msgspec.json.encode([LISTED_VM]))
     vms = create(platform, membership)
-    assert (await vms.list()).ok == [OLD]
+    assert (await vms.list()).ok == [LISTED_VM]
     platform.vms = []
     assert (await vms.list()).ok == []
     platform.vms = None
@@ -120,10 +122,10 @@
 
 
 @asynchronous.run
-async def test_peers_are_told_what_is_known() -> None:
+async def test_peers_get_the_known_list() -> None:
     membership = FakeMembership(None)
-    vms = create(FakePlatform([OLD]), membership)
+    vms = create(FakePlatform([LISTED_VM]), membership)
     tell = membership.handlers[shared_vm_list.TOPIC]
     assert msgspec.json.decode(await tell("n2", b"")) == []
     await vms.list()
-    assert await tell("n2", b"") == msgspec.json.encode([OLD])
+    assert await tell("n2", b"") == msgspec.json.encode([LISTED_VM])
--- a/tests/node/test_stop.py
+++ b/tests/node/test_stop.py
@@ -9,13 +9,13 @@
 
 
 @asynchronous.run
-async def test_a_store_that_hangs_does_not_hold_the_announcement() -> None:
-    """A node is told to stop while the platform's store does not answer.
+async def test_hanging_store_does_not_delay_the_announcement() -> None:
+    """A node is stopped while the platform's store does not answer.
 
-    It gave the control lease back first and waited for the store. Meanwhile
-    its peers went on naming it to callers, and the grace time was counted
-    from later than the platform counts it, so that it was killed with
-    answers still running. Leaving must begin with the signal.
+    The node used to wait for the release of the control lease first.
+    Meanwhile its peers kept listing it, and its grace period started later
+    than the platform's, so that it was killed with requests still running.
+    The drain must start with the signal.
     """
     node = mock.Mock()
     node.at_most_once.running = set()
@@ -30,20 +30,20 @@
 
 
 @asynchronous.run
-async def test_the_lease_is_given_back_before_the_node_closes() -> None:
-    """A node that holds the control lease is told to stop while idle.
+async def test_lease_is_released_before_the_node_closes() -> None:
+    """An idle node that holds the control lease is stopped.
 
-    The lease goes back also when nothing is left to drain, so that another
-    node gives orders at once and not only when the lease runs out.
+    The lease has to be released even if there is nothing to drain, so that
+    another node can send orders before the lease expires.
     """
     node = mock.Mock()
     node.at_most_once.running = set()
     node.reconciler.close = mock.AsyncMock()
-    given_back = asyncio.Event()
-    node.lease.close = mock.AsyncMock(side_effect=given_back.wait)
+    lease_released = asyncio.Event()
+    node.lease.close = mock.AsyncMock(side_effect=lease_released.wait)
     node.drain.run = mock.AsyncMock(return_value="report")
     stopping = asyncio.create_task(application.Node.stop_gracefully(node))
     await clocks.settle()
     assert not stopping.done()
-    given_back.set()
+    lease_released.set()
     assert await stopping == "report"
