--- a/src/almondshift/node/application.py
+++ b/src/almondshift/node/application.py
@@ -165,7 +165,7 @@
             ),
             self.seeds.addresses,
         )
-        self.config_sync = config_spread.create_config_sync(
+        self.config_syncer = config_spread.create_config_sync(
             self.config, self.membership, ports.clock, rng
         )
         claim_queries = at_most_once.ClaimQueries(self.membership)
@@ -178,7 +178,7 @@
             settings.name,
             claim_queries.ask,
         )
-        claim_queries.use(self.claims)
+        claim_queries.attach(self.claims)
         self.sweeper = sweeper.create_sweeper(
             claim_sweep.create_claim_sweep(
                 ports.table,
@@ -305,7 +305,7 @@
         await self.driver.start()
         await self.membership.start()
         await self.seeds.start(self.membership.node.peer_address)
-        await self.config_sync.start()
+        await self.config_syncer.start()
         await self.config.start()
         await self.directory.start()
         await self.load_exchange.start()
@@ -340,7 +340,7 @@
         await self.lease.close()
         await self.claims.close()
         await self.grouped.close()
-        await self.config_sync.close()
+        await self.config_syncer.close()
         await self.config.close()
         await self.seeds.close()
         await self.membership.close()
--- a/src/almondshift/node/at_most_once.py
+++ b/src/almondshift/node/at_most_once.py
@@ -60,15 +60,19 @@
             deadline: Monotonic seconds.
             work: Runs the request once; its error states whether it ran.
         """
-        taken = await self.claims.claim(account, service, key, body, deadline)
-        match taken:
-            case expression.Result(tag="ok", ok=claim_parts.Finished() as old):
-                return expression.Ok(old.result)
-            case expression.Result(tag="ok", ok=claim_parts.Claimed() as mine):
-                return await self._dispatch_shielded(mine, work)
+        claim = await self.claims.claim(account, service, key, body, deadline)
+        match claim:
+            case expression.Result(
+                tag="ok", ok=claim_parts.Finished() as finished
+            ):
+                return expression.Ok(finished.result)
+            case expression.Result(
+                tag="ok", ok=claim_parts.Claimed() as claimed
+            ):
+                return await self._dispatch_shielded(claimed, work)
             case expression.Result(error=error):
                 return expression.Error(error)
-        raise AssertionError(taken)
+        raise AssertionError(claim)
 
     async def _dispatch_shielded(
         self, claimed: claim_parts.Claimed, work: Work
@@ -120,7 +124,7 @@
         self.membership = membership
         self.claims: claim_parts.Claims | None = None
 
-    def use(self, claims: claim_parts.Claims) -> None:
+    def attach(self, claims: claim_parts.Claims) -> None:
         """Starts answering queries from these claims."""
         self.claims = claims
         self.membership.answer(TOPIC, self._answer)
--- a/src/almondshift/node/config_spread.py
+++ b/src/almondshift/node/config_spread.py
@@ -94,13 +94,13 @@
             return
         if (await self.config.poll()).is_ok() and self._has_version(fact):
             return
-        await self._ask_peer(fact)
+        await self._fetch_from_peers(fact)
 
     def _has_version(self, fact: peers.Fact) -> bool:
         current = self.config.current
         return current is not None and current.version >= _version_of(fact)
 
-    async def _ask_peer(self, fact: peers.Fact) -> None:
+    async def _fetch_from_peers(self, fact: peers.Fact) -> None:
         """Fetches the configuration text from a peer.
 
         Otherwise this node would stay on an older version than its peers
--- a/src/almondshift/node/entries.py
+++ b/src/almondshift/node/entries.py
@@ -82,11 +82,11 @@
         ]
 
     def _share(self, account: str) -> float:
-        described = self.current_fleet()
-        if described is None or account not in described.accounts:
+        current = self.current_fleet()
+        if current is None or account not in current.accounts:
             return 0.0
-        total = sum(a.weight for a in described.accounts.values())
-        return described.accounts[account].weight / total
+        total = sum(a.weight for a in current.accounts.values())
+        return current.accounts[account].weight / total
 
 
 def _age_s(peer: peer_types.PeerInfo) -> float:
--- a/src/almondshift/node/gateway.py
+++ b/src/almondshift/node/gateway.py
@@ -180,10 +180,12 @@
             request, service.priority, idempotent=False
         )
         match answer:
-            case expression.Result(tag="ok", ok=whole):
+            case expression.Result(tag="ok", ok=complete_answer):
                 return expression.Ok(
                     claim_rows.StoredResult(
-                        whole.status, whole.content_type, whole.body
+                        complete_answer.status,
+                        complete_answer.content_type,
+                        complete_answer.body,
                     )
                 )
             case expression.Result(error=error):
--- a/src/almondshift/node/plain_calls.py
+++ b/src/almondshift/node/plain_calls.py
@@ -142,7 +142,7 @@
     ) -> PlainResult:
         address = self.directory.address(endpoint)
         if address is None:
-            self._notify_router(request, whole=False)
+            self._notify_router(request, completed=False)
             return expression.Error(
                 errors.EndpointUnreachable(f"Endpoint {endpoint} is gone.")
             )
@@ -159,11 +159,11 @@
         )
         async with self.guard.call_slot(endpoint, request.request_id):
             answer = await self.service.call(address, call)
-            self._notify_router(request, whole=answer.is_ok())
+            self._notify_router(request, completed=answer.is_ok())
             match answer:
-                case expression.Result(tag="ok", ok=whole):
+                case expression.Result(tag="ok", ok=complete_answer):
                     self.guard.plain_answered(endpoint, request.request_id)
-                    return expression.Ok(whole)
+                    return expression.Ok(complete_answer)
                 case expression.Result(error=error):
                     await self.guard.plain_failed(
                         endpoint, request.request_id, error
@@ -172,10 +172,10 @@
         raise AssertionError(answer)
 
     def _notify_router(
-        self, request: gateway.PlainRequest, *, whole: bool
+        self, request: gateway.PlainRequest, *, completed: bool
     ) -> None:
         now = self.clock.monotonic()
-        if whole:
+        if completed:
             self.driver.notify(events.Completed(now, request.request_id))
         else:
             self.driver.notify(events.Abandoned(now, request.request_id))
--- a/src/almondshift/node/reconciler.py
+++ b/src/almondshift/node/reconciler.py
@@ -122,21 +122,21 @@
 
     async def reconcile(self) -> None:
         """Plans once and sends the orders that are due."""
-        wanted = self.current_fleet()
-        if self.guard.fencing() is None or wanted is None:
+        current = self.current_fleet()
+        if self.guard.fencing() is None or current is None:
             self._last_sent.clear()
             self._settled_state = None
             return
         engines = self._engines()
         plain_ready = self.directory.plain_ready()
         state = _PlanState(
-            wanted.version,
+            current.version,
             frozenset(_engine_state(engine) for engine in engines),
             frozenset(plain_ready),
         )
         if not self._needs_plan(state):
             return
-        plan = self.planner.plan(wanted, engines, plain_ready)
+        plan = self.planner.plan(current, engines, plain_ready)
         self._settled_state = state if not plan.orders else None
         self._planned_at = self.clock.monotonic()
         self.notes = plan.notes
