--- a/src/almondshift/node/step_queue.py
+++ b/src/almondshift/node/step_queue.py
@@ -53,7 +53,7 @@
 def limits_for(
     engine: endpoints.EndpointDescription, layer_count: int
 ) -> CallLimits:
-    """Returns limits under which a call takes about ``CALL_TARGET_S``.
+    """Returns limits under which a call takes about ``TARGET_CALL_S``.
 
     Args:
         engine: The engine's description of itself.
--- a/tests/node/test_load_exchange.py
+++ b/tests/node/test_load_exchange.py
@@ -142,8 +142,8 @@
     receiver = _exchange("n2", ["n1"])
     receiver._on_usage_fact(key, peers.Fact(kind, key, 1, "n1", ttl_s, value))
     receiver._on_usage_fact(key, None)
-    told = [call.args[0] for call in receiver.driver.notify.call_args_list]
-    assert told == [
+    notified = [call.args[0] for call in receiver.driver.notify.call_args_list]
+    assert notified == [
         events.PeerLoad(100.0, "n1", {}, {}),
         events.PeerGone(100.0, "n1"),
     ]
@@ -154,12 +154,12 @@
     # When three watchers published each of 820 engines, the exchange of 390
     # nodes was full, and the loads of most engines reached no other node.
     names = [f"n{i}" for i in range(nodes)]
-    told = 0
+    published_count = 0
     for name in names:
         exchange = _exchange(name, [other for other in names if other != name])
         exchange.publish()
-        told += len(_published(exchange, peers.FactKind.ENGINE_LOAD))
-    assert told == 1
+        published_count += len(_published(exchange, peers.FactKind.ENGINE_LOAD))
+    assert published_count == 1
 
 
 def test_the_next_watcher_takes_over() -> None:
@@ -199,7 +199,7 @@
 
 
 @pytest.mark.parametrize(
-    ("changes", "after_s", "told"),
+    ("changes", "after_s", "published_count"),
     [
         ({}, 1.0, 0),
         ({"sessions": 60, "queued_items": 50}, 1.0, 0),
@@ -212,7 +212,7 @@
     ],
 )
 def test_state_is_published_on_change_or_after_an_interval(
-    changes: dict[str, object], after_s: float, told: int
+    changes: dict[str, object], after_s: float, published_count: int
 ) -> None:
     sender, _ = _publisher_and_other()
     sender._publish_states()
@@ -220,7 +220,9 @@
     _set_time(sender, 100.0 + after_s)
     _set_report(sender, "e1", **changes)
     sender._publish_states()
-    assert len(_published(sender, peers.FactKind.ENGINE_LOAD)) == told
+    assert (
+        len(_published(sender, peers.FactKind.ENGINE_LOAD)) == published_count
+    )
 
 
 @pytest.mark.parametrize("state_first", [True, False])
@@ -270,14 +272,14 @@
     names = [f"a-rather-long-name-of-an-engine-{i}" for i in range(200)]
     for name in names:
         _set_report(sender, name)
-    told: set[str] = set()
+    published_names: set[str] = set()
     for second in range(20):
         _set_time(sender, 101.0 + second)
         sender._publish_usage()
         (use,) = _published(sender, peers.FactKind.ACCOUNT_USE)
         assert len(use.value) <= load_exchange.MAX_VALUE_BYTES
-        told |= {row[0] for row in json.loads(use.value)["loads"]}
-    assert told == {"e1", *names}
+        published_names |= {row[0] for row in json.loads(use.value)["loads"]}
+    assert published_names == {"e1", *names}
     _set_report(sender, names[7], sessions=40)
     sender._publish_usage()
     (use,) = _published(sender, peers.FactKind.ACCOUNT_USE)
@@ -329,8 +331,10 @@
     _set_time(receiver, 100.5)
     changed = dataclasses.replace(use, value=json.dumps(value).encode())
     receiver._on_usage_fact("peer", changed)
-    (told,) = [call.args[0] for call in receiver.driver.notify.call_args_list]
-    assert told == events.PeerLoad(100.5, "peer", {"e1": 2}, {})
+    (notified,) = [
+        call.args[0] for call in receiver.driver.notify.call_args_list
+    ]
+    assert notified == events.PeerLoad(100.5, "peer", {"e1": 2}, {})
     assert receiver._rows["e1"].row.sessions == 8
 
 
--- a/tests/node/test_shared_vm_list.py
+++ b/tests/node/test_shared_vm_list.py
@@ -125,7 +125,7 @@
 async def test_peers_get_the_known_list() -> None:
     membership = FakeMembership(None)
     vms = create(FakePlatform([LISTED_VM]), membership)
-    tell = membership.handlers[shared_vm_list.TOPIC]
-    assert msgspec.json.decode(await tell("n2", b"")) == []
+    answer_peer = membership.handlers[shared_vm_list.TOPIC]
+    assert msgspec.json.decode(await answer_peer("n2", b"")) == []
     await vms.list()
-    assert await tell("n2", b"") == msgspec.json.encode([LISTED_VM])
+    assert await answer_peer("n2", b"") == msgspec.json.encode([LISTED_VM])
