--- a/src/almondshift/relay/application.py
+++ b/src/almondshift/relay/application.py
@@ -48,13 +48,13 @@
     from almondshift.ports import stores
 
 LEASE_NAME = "layers"
-LEASE = coordination_lease.LeaseSettings(
+LEASE_SETTINGS = coordination_lease.LeaseSettings(
     duration_s=3.0, renew_s=1.0, watch_s=0.8, idle_watch_s=3.0
 )
 """Contenders read the lease row every ``idle_watch_s`` while peers see its
 holder alive, and every ``watch_s`` otherwise."""
 
-MEMBERS = peer_types.MembershipSettings(
+MEMBERSHIP_SETTINGS = peer_types.MembershipSettings(
     interval_s=1.0,
     call_timeout_s=0.4,
     silent_beats=2,
@@ -68,11 +68,11 @@
 
 TICK_S = 0.25
 
-ENGINE_PAUSE_S = 0.2
+ENGINE_CHANGE_PAUSE_S = 0.2
 """Pause after engine changes, in seconds. Changes come in groups; without the
 pause every engine that starts costs each reader a call to the store."""
 
-FIRST_PAUSE_S = 0.8
+FIRST_READ_PAUSE_S = 0.8
 """Pause after the first read, in seconds: nodes that have not yet found each
 other would all poll the store themselves."""
 
@@ -80,11 +80,11 @@
 """Time after joining in which a node may not know all of its peers, in seconds;
 until then the rows in the store decide which nodes contend for the lease."""
 
-CONTENDERS = 6
+MAX_CONTENDERS = 6
 """Number of nodes that contend for the lease; enough that a partial store
 outage rarely affects all of them."""
 
-PAUSED_S = 1.0
+MAX_TICK_DELAY_S = 1.0
 """Delay of the periodic tick above which the process counts as suspended, in
 seconds."""
 
@@ -144,11 +144,11 @@
         self.config_watch = self._watch(ports.config_table)
         self.engine_watch = self._watch(ports.engine_table)
         for watch in (self.config_watch, self.engine_watch):
-            watch.pause_s = FIRST_PAUSE_S
+            watch.pause_s = FIRST_READ_PAUSE_S
         repeats = settings.repeats
-        seen = observer.create_relay_observer()
+        relay_observer = observer.create_relay_observer()
         lost = lost_engines.create_lost_engines(
-            ports.clock, self.catalogue, self.book, seen
+            ports.clock, self.catalogue, self.book, relay_observer
         )
         self.shared = context.RelayContext(
             zone=settings.node.zone,
@@ -170,7 +170,7 @@
             refusing=refusing_engines.create_refusing_engines(
                 ports.clock, self.catalogue, self.book, ports.engines, lost
             ),
-            observer=seen,
+            observer=relay_observer,
             times=answer_times.create_answer_times(),
             first_waits=first_event_wait.create_first_event_wait(),
             drain=drain.NodeDrain(ports.clock),
@@ -189,7 +189,7 @@
                 ports.rng,
                 LEASE_NAME,
                 settings.node.name,
-                LEASE,
+                LEASE_SETTINGS,
             ),
         )
         self.rows = group.NodeRows(ports.table, ports.clock)
@@ -198,18 +198,18 @@
         self.size = group_size.GroupSize(ports.clock.monotonic())
         self.joined_at = math.inf
         self.work = background.Background()
-        self.woke_at = ports.clock.monotonic()
+        self.last_tick_at = ports.clock.monotonic()
         self.is_front_idle: Callable[[], bool] = lambda: True
-        self.wire()
+        self.connect_callbacks()
 
-    def wire(self) -> None:
+    def connect_callbacks(self) -> None:
         """Connects the callbacks of the components."""
-        self.config_watch.on_rows = self.take_config
-        self.config_watch.on_whole = lambda rows: self.take_config(
+        self.config_watch.on_rows = self.apply_config
+        self.config_watch.on_full_read = lambda rows: self.apply_config(
             list(rows), True
         )
-        self.engine_watch.on_rows = self.take_engines
-        self.engine_watch.on_whole = self.take_registry
+        self.engine_watch.on_rows = self.apply_engines
+        self.engine_watch.on_full_read = self.apply_registry
         self.catalogue.on_leaving.append(self.engine_leaving)
         self.catalogue.on_gone.append(self.engine_gone)
         self.catalogue.on_restarted.append(self.engine_restarted)
@@ -261,30 +261,32 @@
                 self.settings.node.zone,
             ),
             self.rows.peer_addresses,
-            MEMBERS,
+            MEMBERSHIP_SETTINGS,
         )
-        joined = group.Group(members)
+        node_group = group.Group(members)
         for watch in (self.config_watch, self.engine_watch):
-            joined.answer(watch.table, answering(watch))
-            watch.ask_peers = joined.ask
-        self.feed.group = joined
-        self.shared.crashes.join(joined)
-        self.shared.lost.join(joined)
-        self.shared.refusing.join(joined)
+            node_group.register_handler(
+                watch.table, peer_request_handler(watch)
+            )
+            watch.ask_peers = node_group.ask
+        self.feed.group = node_group
+        self.shared.crashes.join(node_group)
+        self.shared.lost.join(node_group)
+        self.shared.refusing.join(node_group)
         # Read before the first gossip exchange, which takes longer: the node
         # count is needed to share the load of callers that reconnect at once.
         await self.rows.peer_addresses()
-        await joined.start()
-        self.group = joined
+        await node_group.start()
+        self.group = node_group
         self.joined_at = self.ports.clock.monotonic()
         if self.shared.drain.is_begun:
             # Shutdown began before the node had peers to notify. Without this
             # announcement peers would keep sending callers to it.
             await members.announce_leaving()
-        self.note_group(joined)
-        self.gateway.group = joined
-        self.work.run(self.sweep_rows(joined))
-        self.keeper.lease.is_holder_alive = joined.is_alive
+        self.update_node_counts(node_group)
+        self.gateway.group = node_group
+        self.work.run(self.sweep_rows(node_group))
+        self.keeper.lease.is_holder_alive = node_group.is_alive
 
     def may_contend(self) -> bool:
         """Returns whether this node currently contends for the lease.
@@ -294,75 +296,79 @@
         """
         settled_at = self.joined_at + SETTLE_S
         if self.group is None or self.ports.clock.monotonic() < settled_at:
-            return self.rows.is_among_first(CONTENDERS)
-        return self.group.is_among_first(CONTENDERS)
+            return self.rows.is_among_first(MAX_CONTENDERS)
+        return self.group.is_among_first(MAX_CONTENDERS)
 
-    async def sweep_rows(self, joined: group.Group) -> None:
+    async def sweep_rows(self, node_group: group.Group) -> None:
         """Removes rows of nodes that are gone while this node has the lease.
 
         Only the lease holder does this, so that not every node has to read the
         rows of all others.
         """
         while True:
-            await asyncio.sleep(group.SWEEP_EACH_S)
+            await asyncio.sleep(group.SWEEP_INTERVAL_S)
             if self.keeper.lease.grant() is None:
                 continue
-            for name in await self.rows.sweep(joined.names()):
+            for name in await self.rows.sweep(node_group.names()):
                 log_events.emit(logger, log_events.NodeRowRemoved(name))
 
     def tick(self) -> None:
         """Does periodic work: suspension check, expiry, peers, poll times."""
         now = self.ports.clock.monotonic()
-        paused_s = now - self.woke_at - TICK_S
-        self.woke_at = now
-        if paused_s > PAUSED_S:
-            log_events.emit(logger, log_events.NodeWoke(round(paused_s, 2)))
+        suspended_s = now - self.last_tick_at - TICK_S
+        self.last_tick_at = now
+        if suspended_s > MAX_TICK_DELAY_S:
+            log_events.emit(logger, log_events.NodeWoke(round(suspended_s, 2)))
         self.catalogue.expire_removals(now)
         self.shared.crashes.strikes.forget_old(now)
         if self.group is not None:
             self.group.log_changes()
-            nodes = self.note_group(self.group)
+            nodes = self.update_node_counts(self.group)
             wait_s = table_watch.WAIT_S
             if nodes > feed_readers.FEW_NODES:
                 wait_s = feed_readers.READER_WAIT_S
             for watch in (self.config_watch, self.engine_watch):
                 watch.wait_s = wait_s
             self.config_watch.pause_s = 0.0
-            self.engine_watch.pause_s = ENGINE_PAUSE_S
+            self.engine_watch.pause_s = ENGINE_CHANGE_PAUSE_S
 
-    def note_group(self, joined: group.Group) -> int:
+    def update_node_counts(self, node_group: group.Group) -> int:
         """Updates the node counts of load sharing and of the retry budget.
 
         Returns:
             Number of live nodes, this one included.
         """
         now = self.ports.clock.monotonic()
-        serving = len(joined.serving())
-        written = len(self.rows.found)
+        serving = len(node_group.serving())
+        written = len(self.rows.addresses)
         self.shared.paths.nodes = self.size.nodes(serving, written, now)
         self.shared.budget.note_nodes(max(1 + serving, written), now)
         return 1 + serving
 
-    def take_config(
+    def apply_config(
         self, rows: list[row_feeds.FeedRow], verified: bool
     ) -> None:
         """Applies rows of the operators' configuration table."""
         for row in rows:
             self.catalogue.take_config_row(row, verified)
 
-    def take_engines(
+    def apply_engines(
         self, rows: list[row_feeds.FeedRow], verified: bool
     ) -> None:
         """Applies changed entries of the engine registry."""
         del verified
         now = self.ports.clock.monotonic()
         for row in rows:
-            self.catalogue.take_engine_row(row, now, self.engine_watch.back_at)
+            self.catalogue.take_engine_row(
+                row, now, self.engine_watch.outage_ended_at
+            )
 
-    def take_registry(self, rows: tuple[row_feeds.FeedRow, ...]) -> None:
+    def apply_registry(self, rows: tuple[row_feeds.FeedRow, ...]) -> None:
         """Applies a full read of the engine registry."""
         now = self.ports.clock.monotonic()
-        self.catalogue.take_whole_registry(rows, now, self.engine_watch.back_at)
+        self.catalogue.apply_whole_registry(
+            rows, now, self.engine_watch.outage_ended_at
+        )
 
     def engine_leaving(
         self, engine: registered_engines.RegisteredEngine
@@ -440,7 +446,7 @@
         )
 
 
-def answering(
+def peer_request_handler(
     watch: table_watch.TableWatch,
 ) -> membership.Handler:
     """Returns the handler of peers' requests for newer rows of a table."""
--- a/src/almondshift/relay/catalogue.py
+++ b/src/almondshift/relay/catalogue.py
@@ -20,13 +20,13 @@
     from almondshift.model import routing_config
     from almondshift.ports import row_feeds
 
-RETURN_GRACE_S = 1.8
+REMOVAL_GRACE_S = 1.8
 """Time after a store outage in which removals are held back, in seconds.
 Entries that expired during the outage are written again within about two
 seconds. This is slightly less, so that an engine that really left gets no work
 for longer than those two seconds."""
 
-MOST_NAMED = 20
+MAX_LOGGED_ENGINES = 20
 """Maximum new engines of one registry read that get a log line each."""
 
 LEFT = "left the registry"
@@ -64,11 +64,11 @@
     Attributes:
         config: The newest known configuration; None before the first.
         engines: Engines by instance, which identifies one start of an engine.
-        lifetimes: The current instance by row key of the registry.
+        current_instances: The current instance by row key of the registry.
         version: Incremented with each change of the engines.
         unlogged: New engines that have not been logged yet.
-        removals: Removals that are held back: row keys with the monotonic time
-            at which they take effect.
+        pending_removals: Monotonic time at which a removal that is held back
+            takes effect, by row key.
         on_config: Called after each new configuration.
         on_leaving: Called with an engine that starts to shut down.
         on_gone: Called with an engine that is gone.
@@ -82,11 +82,11 @@
         self.config_key = config_key
         self.config: routing_config.RoutingConfig | None = None
         self.engines: dict[str, registered_engines.RegisteredEngine] = {}
-        self.lifetimes: dict[str, str] = {}
+        self.current_instances: dict[str, str] = {}
         self.starts = engine_starts.create_engine_starts()
         self.version = 0
         self.unlogged: list[registered_engines.RegisteredEngine] = []
-        self.removals: dict[str, float] = {}
+        self.pending_removals: dict[str, float] = {}
         self.views: dict[str, path_candidates.FleetView] = {}
         self.on_config: list[Callable[[], None]] = []
         self.on_leaving: list[
@@ -140,16 +140,16 @@
             store_back_at: End of the last store outage, in monotonic seconds;
                 entries of live engines may have expired during the outage.
         """
-        self._take_row(row, now, store_back_at)
-        self._log_new()
+        self._apply_row(row, now, store_back_at)
+        self._log_new_engines()
 
-    def _take_row(
+    def _apply_row(
         self, row: row_feeds.FeedRow, now: float, store_back_at: float
     ) -> None:
         if row.value is None:
-            self._take_removal(row.key, now, store_back_at)
+            self._apply_removal(row.key, now, store_back_at)
             return
-        self.removals.pop(row.key, None)
+        self.pending_removals.pop(row.key, None)
         decoded = self.decoders.engine(row.key, row.value)
         if decoded.is_error():
             detail = str(decoded.error)
@@ -159,10 +159,10 @@
             # The engine gets no work until its entry can be decoded again.
             self._drop(row.key, UNREADABLE)
             return
-        if self._stands(row, decoded.ok, now):
-            self._put(row.key, decoded.ok)
+        if self._is_current_start(row, decoded.ok, now):
+            self._set_engine(row.key, decoded.ok)
 
-    def take_whole_registry(
+    def apply_whole_registry(
         self,
         rows: tuple[row_feeds.FeedRow, ...],
         now: float,
@@ -171,14 +171,18 @@
         """Applies a full read; entries that are missing in it were removed."""
         present = {row.key for row in rows}
         for row in rows:
-            self._take_row(row, now, store_back_at)
-        self._log_new()
-        for key in [key for key in self.lifetimes if key not in present]:
-            self._take_removal(key, now, store_back_at)
+            self._apply_row(row, now, store_back_at)
+        self._log_new_engines()
+        for key in [
+            key for key in self.current_instances if key not in present
+        ]:
+            self._apply_removal(key, now, store_back_at)
 
     def expire_removals(self, now: float) -> None:
         """Drops engines whose removal is no longer held back."""
-        for key in [key for key, at in self.removals.items() if at <= now]:
+        for key in [
+            key for key, at in self.pending_removals.items() if at <= now
+        ]:
             self._drop(key)
 
     def of_service(
@@ -199,24 +203,24 @@
 
     def view(self, service: str) -> path_candidates.FleetView | None:
         """Returns a service's engines and spec; None if it has no spec."""
-        kept = self.views.get(service)
-        if kept is not None:
-            return kept
+        cached = self.views.get(service)
+        if cached is not None:
+            return cached
         if self.config is None:
             return None
-        described = self.config.services.get(service)
-        if described is None or described.engine is None:
+        service_config = self.config.services.get(service)
+        if service_config is None or service_config.engine is None:
             return None
-        made = path_candidates.FleetView(
+        created = path_candidates.FleetView(
             service=service,
-            spec=described.engine,
+            spec=service_config.engine,
             engines=tuple(self.of_service(service)),
             version=self.version,
         )
-        self.views[service] = made
-        return made
+        self.views[service] = created
+        return created
 
-    def _stands(
+    def _is_current_start(
         self,
         row: row_feeds.FeedRow,
         engine: registered_engines.RegisteredEngine,
@@ -241,18 +245,18 @@
             )
         return True
 
-    def _put(
+    def _set_engine(
         self, key: str, engine: registered_engines.RegisteredEngine
     ) -> None:
         former = self.engines.get(engine.instance)
         if former == engine:
             return
-        ended = self.engines.get(self.lifetimes.get(key, ""))
+        ended = self.engines.get(self.current_instances.get(key, ""))
         if ended is not None and ended.instance != engine.instance:
             for callback in self.on_restarted:
                 callback(ended)
             self._drop(key, RESTARTED)
-        self.lifetimes[key] = engine.instance
+        self.current_instances[key] = engine.instance
         self.engines[engine.instance] = engine
         self._changed()
         if former is None:
@@ -266,14 +270,14 @@
         for callback in self.on_engine:
             callback(engine)
 
-    def _log_new(self) -> None:
+    def _log_new_engines(self) -> None:
         """Logs new engines, with a single line if there are many.
 
         A line for each of thousands of engines would use up the log's rate
         limit, and lines about decisions would be dropped.
         """
         new, self.unlogged = self.unlogged, []
-        if len(new) > MOST_NAMED:
+        if len(new) > MAX_LOGGED_ENGINES:
             event = log_events.RegistryRead(len(self.engines), len(new))
             log_events.emit(logger, event)
             return
@@ -285,18 +289,20 @@
                 ),
             )
 
-    def _take_removal(self, key: str, now: float, store_back_at: float) -> None:
-        if key not in self.lifetimes:
+    def _apply_removal(
+        self, key: str, now: float, store_back_at: float
+    ) -> None:
+        if key not in self.current_instances:
             return
-        held_until = store_back_at + RETURN_GRACE_S
+        held_until = store_back_at + REMOVAL_GRACE_S
         if now < held_until:
-            self.removals.setdefault(key, held_until)
+            self.pending_removals.setdefault(key, held_until)
             return
         self._drop(key)
 
     def _drop(self, key: str, reason: str = LEFT) -> None:
-        self.removals.pop(key, None)
-        instance = self.lifetimes.pop(key, "")
+        self.pending_removals.pop(key, None)
+        instance = self.current_instances.pop(key, "")
         engine = self.engines.pop(instance, None)
         if engine is None:
             return
--- a/src/almondshift/relay/crash_watch.py
+++ b/src/almondshift/relay/crash_watch.py
@@ -28,7 +28,7 @@
 """At a million requests a day, two of one day share a fingerprint once in
 thirty million days. A collision leads to a refusal only after three crashes."""
 
-PER_FACT = 50
+FINGERPRINTS_PER_FACT = 50
 """Maximum fingerprints of 16 hex digits in one fact, whose limit is 1,500
 bytes."""
 
@@ -62,10 +62,10 @@
         self.strikes = strikes
         self.group: relay_group.Group | None = None
 
-    def join(self, joined: relay_group.Group) -> None:
+    def join(self, node_group: relay_group.Group) -> None:
         """Starts to exchange facts about crashes with peers."""
-        self.group = joined
-        joined.on_told(peers.FactKind.QUARANTINE, self.take_fact)
+        self.group = node_group
+        node_group.subscribe_facts(peers.FactKind.QUARANTINE, self.handle_fact)
 
     def check(self, routed: routed_requests.RoutedRequest) -> None:
         """Checks that a request is not refused.
@@ -119,26 +119,28 @@
         if not crash.fingerprints:
             return
         self.log_convicted(crash.convicted)
-        self.tell(CRASH, instance, crash.fingerprints)
+        self.publish_fingerprints(CRASH, instance, crash.fingerprints)
 
-    def tell(
+    def publish_fingerprints(
         self, topic: str, instance: str, fingerprints: tuple[str, ...]
     ) -> None:
         """Publishes fingerprints to peers, split over several facts."""
         if self.group is None:
             return
         for index, start in enumerate(
-            itertools.islice(range(0, len(fingerprints), PER_FACT), MAX_FACTS)
+            itertools.islice(
+                range(0, len(fingerprints), FINGERPRINTS_PER_FACT), MAX_FACTS
+            )
         ):
-            part = list(fingerprints[start : start + PER_FACT])
-            self.group.tell(
+            part = list(fingerprints[start : start + FINGERPRINTS_PER_FACT])
+            self.group.publish_fact(
                 peers.FactKind.QUARANTINE,
                 f"{topic}/{instance}/{self.group.name}/{index}",
                 msgspec.json.encode(part),
                 crash_strikes.STRIKE_S,
             )
 
-    def take_fact(self, key: str, fact: peers.Fact | None) -> None:
+    def handle_fact(self, key: str, fact: peers.Fact | None) -> None:
         """Handles a peer's fact about a crash or about completed requests."""
         if fact is None or self.group is None:
             return
@@ -158,7 +160,7 @@
         )
         good = self.strikes.known_good(fingerprints)
         if good:
-            self.tell(CLEARED, instance, good)
+            self.publish_fingerprints(CLEARED, instance, good)
 
     def log_convicted(self, fingerprints: tuple[str, ...]) -> None:
         """Logs requests that are refused from now on."""
--- a/src/almondshift/relay/drain.py
+++ b/src/almondshift/relay/drain.py
@@ -24,16 +24,16 @@
         self.refuses_at = math.inf
         self.ends_at = math.inf
 
-    def begin(self, hold_s: float, seconds: float) -> None:
+    def begin(self, hold_s: float, cut_after_s: float) -> None:
         """Begins the shutdown.
 
         Args:
             hold_s: Time for which new requests are still accepted.
-            seconds: Time after which unfinished requests are cut.
+            cut_after_s: Time after which unfinished requests are cut.
         """
         self.began_at = self.clock.monotonic()
         self.refuses_at = self.began_at + hold_s
-        self.ends_at = self.began_at + seconds
+        self.ends_at = self.began_at + cut_after_s
 
     @property
     def is_begun(self) -> bool:
--- a/src/almondshift/relay/engine_questions.py
+++ b/src/almondshift/relay/engine_questions.py
@@ -25,21 +25,21 @@
 REPORT_TIMEOUT_S = 0.3
 """Time-out of a query; live engines answer within milliseconds."""
 
-SLOW_GAP_S = 1.0
+PACE_QUERY_GAP_S = 1.0
 """Minimum interval between queries for one engine's pace, in seconds."""
 
-SLOW_AGAIN_S = 2.0
+SLOW_ENGINE_QUERY_GAP_S = 2.0
 """The same for an engine that is known to be slow; half the validity of its
 report, in seconds."""
 
-USED_GAP_S = 0.5
+MEMORY_QUERY_GAP_S = 0.5
 """Minimum interval between queries for one engine's memory use, in seconds;
 half the validity of its report."""
 
-TRIAL_GAP_S = 1.0
+SUSPECT_QUERY_GAP_S = 1.0
 """Interval between trials of a suspect, in seconds."""
 
-MAX_QUESTIONS = 24
+MAX_QUERIES = 24
 """Maximum concurrent queries and moves; others wait for the next check."""
 
 
@@ -47,12 +47,7 @@
 
 
 class EngineQuestions:
-    """Queries engines and records their reports.
-
-    Attributes:
-        paced_at: Loop time of the last query for an engine's pace, by instance.
-        used_at: Loop time of the last query for its memory use, by instance.
-    """
+    """Queries engines and records their reports."""
 
     def __init__(
         self,
@@ -63,13 +58,13 @@
         self.shared = shared
         self.work = work
         self.moves = moves
-        self.paced_at: dict[str, float] = {}
-        self.used_at: dict[str, float] = {}
+        self.pace_queried_at: dict[str, float] = {}
+        self.memory_queried_at: dict[str, float] = {}
 
     def forget(self, instance: str) -> None:
         """Drops an engine that is gone."""
-        self.paced_at.pop(instance, None)
-        self.used_at.pop(instance, None)
+        self.pace_queried_at.pop(instance, None)
+        self.memory_queried_at.pop(instance, None)
 
     async def report(
         self, instance: str, address: str, timeout_s: float = REPORT_TIMEOUT_S
@@ -96,30 +91,32 @@
             self.moves.engine_lost(instance, engine_book.Suspicion.GONE)
         return None
 
-    def ask_paces(self, parts: dict[str, relayed.PathPart]) -> None:
+    def query_paces(self, parts: dict[str, relayed.PathPart]) -> None:
         """Queries the pace of the engines behind silent streams."""
         for instance, part in parts.items():
-            self.ask_pace(instance, part.address, SLOW_GAP_S)
+            self.query_pace(instance, part.address, PACE_QUERY_GAP_S)
 
-    def ask_again(self) -> None:
+    def query_due(self) -> None:
         """Queries slow, nearly full and suspect engines that are due."""
         now = self.shared.clock.monotonic()
         for instance in self.shared.book.slow_engines(now):
             engine = self.shared.catalogue.engines.get(instance)
             if engine is not None:
-                self.ask_pace(instance, engine.address, SLOW_AGAIN_S)
-        self.ask_tight()
-        self.try_suspects(now)
+                self.query_pace(
+                    instance, engine.address, SLOW_ENGINE_QUERY_GAP_S
+                )
+        self.query_nearly_full()
+        self.query_suspects(now)
 
-    def ask_pace(self, instance: str, address: str, gap_s: float) -> None:
+    def query_pace(self, instance: str, address: str, gap_s: float) -> None:
         """Queries one engine's pace, at most once in ``gap_s``."""
         now = asyncio.get_running_loop().time()
-        if now - self.paced_at.get(instance, -gap_s) < gap_s:
+        if now - self.pace_queried_at.get(instance, -gap_s) < gap_s:
             return
-        self.paced_at[instance] = now
-        self.work.run(self.note_pace(instance, address))
+        self.pace_queried_at[instance] = now
+        self.work.run(self.record_pace(instance, address))
 
-    async def note_pace(self, instance: str, address: str) -> None:
+    async def record_pace(self, instance: str, address: str) -> None:
         """Records an engine's pace; moves streams off it if it became slow."""
         report = await self.report(instance, address)
         if report is None:
@@ -130,21 +127,23 @@
         if self.shared.book.is_slow(instance, now) and not was_slow:
             self.moves.engine_slow(instance, report.pace)
 
-    def ask_tight(self) -> None:
+    def query_nearly_full(self) -> None:
         """Queries the memory use of engines that seem nearly full."""
         now = asyncio.get_running_loop().time()
-        gap_s = USED_GAP_S * pooled_load.question_gap(self.shared.paths.nodes)
+        gap_s = MEMORY_QUERY_GAP_S * pooled_load.question_gap(
+            self.shared.paths.nodes
+        )
         tight = list(self.shared.paths.tight.items())
         self.shared.paths.tight.clear()
         for instance, address in tight:
-            if len(self.work) >= MAX_QUESTIONS:
+            if len(self.work) >= MAX_QUERIES:
                 return
-            if now - self.used_at.get(instance, -math.inf) < gap_s:
+            if now - self.memory_queried_at.get(instance, -math.inf) < gap_s:
                 continue
-            self.used_at[instance] = now
-            self.work.run(self.note_used(instance, address))
+            self.memory_queried_at[instance] = now
+            self.work.run(self.record_memory_use(instance, address))
 
-    async def note_used(self, instance: str, address: str) -> None:
+    async def record_memory_use(self, instance: str, address: str) -> None:
         """Records an engine's memory use."""
         report = await self.report(instance, address)
         if report is None:
@@ -157,7 +156,7 @@
         self.shared.book.note_used(instance, report.used, now)
         self.shared.book.note_pace(instance, report.pace, now)
 
-    def try_suspects(self, now: float) -> None:
+    def query_suspects(self, now: float) -> None:
         """Queries suspects whose ejection time is over."""
         for instance in self.shared.book.due_for_trial(now):
             engine = self.shared.catalogue.engines.get(instance)
@@ -166,11 +165,11 @@
                 continue
             state = self.shared.book.state(instance)
             drains = state.reason is engine_book.Suspicion.DRAINING
-            gap_s = engine_book.SUSPECT_S if drains else TRIAL_GAP_S
+            gap_s = engine_book.SUSPECT_S if drains else SUSPECT_QUERY_GAP_S
             state.suspect_until = now + gap_s
-            self.work.run(self.try_suspect(engine, drains))
+            self.work.run(self.query_suspect(engine, drains))
 
-    async def try_suspect(
+    async def query_suspect(
         self, engine: registered_engines.RegisteredEngine, drains: bool
     ) -> None:
         """Readmits a suspect that answers, or that accepts work again."""
--- a/src/almondshift/relay/events.py
+++ b/src/almondshift/relay/events.py
@@ -32,11 +32,11 @@
     again, and the caller would read parts of two runs as one event.
 
     Attributes:
-        rest: The partial event.
+        partial: The partial event.
     """
 
     def __init__(self) -> None:
-        self.rest = b""
+        self.partial = b""
 
     def feed(self, data: bytes) -> list[StreamEvent]:
         """Adds received bytes and returns the events that are now complete.
@@ -44,9 +44,9 @@
         Raises:
             ValueError: An event exceeds ``MAX_EVENT_BYTES``.
         """
-        parts = (self.rest + data).split(EVENT_END)
-        self.rest = parts.pop()
-        if len(self.rest) > MAX_EVENT_BYTES:
+        parts = (self.partial + data).split(EVENT_END)
+        self.partial = parts.pop()
+        if len(self.partial) > MAX_EVENT_BYTES:
             raise ValueError(f"event exceeds {MAX_EVENT_BYTES} bytes")
         return [StreamEvent(p + EVENT_END, read_id(p)) for p in parts]
 
--- a/src/almondshift/relay/gateway.py
+++ b/src/almondshift/relay/gateway.py
@@ -32,7 +32,7 @@
 """Limits until a configuration is known; generous, as no request is served
 until then."""
 
-DENY_AGE_S = 0.5
+MAX_DENIAL_CONFIG_AGE_S = 0.5
 """Maximum age of the configuration, in seconds, by which a key or route is
 denied; an older copy may lack a recent addition."""
 
@@ -41,7 +41,7 @@
 STARTING_RETRY_S = 0.5
 
 
-class Denied(relays.Relaying):
+class PendingDenial(relays.Relaying):
     """A request whose denial waits until the configuration is confirmed.
 
     Attributes:
@@ -67,7 +67,7 @@
             self.refuse()
 
 
-class Refused(relays.Relaying):
+class RefusedRequest(relays.Relaying):
     """A request that has already been refused."""
 
     def caller_gone(self) -> None:
@@ -122,7 +122,7 @@
         del zone
         found = [self.entry_address] if self.is_ready() else []
         if self.group is not None:
-            found += [peer.entry_address for peer in self.group.named()]
+            found += [peer.entry_address for peer in self.group.advertised()]
         self.shared.rng.shuffle(found)
         return found
 
@@ -131,19 +131,21 @@
     ) -> relays.Relaying:
         """Serves or refuses a request."""
         if self.leaving:
-            self.note_late(request)
+            self.log_late_request(request)
         try:
             return self.serve(request, responder)
         except (errors.MissingKey, errors.WrongKey, errors.UnknownService):
-            denied = Denied(lambda: self.refuse(responder, leaving()))
+            denied = PendingDenial(
+                lambda: self.refuse(responder, node_leaving_error())
+            )
             self.shared.running.add(denied)
             self.work.run(self.confirm_denial(request, responder, denied))
             return denied
         except errors.AlmondshiftError as error:
             self.refuse(responder, error)
-            return Refused()
+            return RefusedRequest()
 
-    def note_late(self, request: relayed.RelayedRequest) -> None:
+    def log_late_request(self, request: relayed.RelayedRequest) -> None:
         """Logs a request that arrived while this node is shutting down."""
         stop = self.shared.drain
         self.shared.observer.emit(
@@ -159,7 +161,7 @@
         self,
         request: relayed.RelayedRequest,
         responder: relays.Responder,
-        denied: Denied,
+        denied: PendingDenial,
     ) -> None:
         """Denies a request only if the configuration is confirmed as current.
 
@@ -169,7 +171,9 @@
         is_current = False
         try:
             async with asyncio.timeout(CONFIRM_TIMEOUT_S):
-                is_current = await self.config_watch.confirm(DENY_AGE_S)
+                is_current = await self.config_watch.confirm(
+                    MAX_DENIAL_CONFIG_AGE_S
+                )
         except TimeoutError:
             is_current = False
         finally:
@@ -179,7 +183,9 @@
         try:
             denied.run = self.serve(request, responder)
         except errors.AlmondshiftError as error:
-            self.refuse(responder, error if is_current else out_of_date())
+            self.refuse(
+                responder, error if is_current else outdated_config_error()
+            )
 
     def refuse(
         self, responder: relays.Responder, error: errors.AlmondshiftError
@@ -223,24 +229,24 @@
                 retry_after_s=STARTING_RETRY_S,
             )
         if self.shared.drain.refuses_new():
-            raise leaving()
+            raise node_leaving_error()
         route = config.table.find(request.host, request.path)
         if route is None:
             raise errors.UnknownService("No route matches the host and path.")
-        account = self.account(config, route, request.key)
+        account = self.find_account(config, route, request.key)
         priority = route.priority
         if account is not None and account.priority is not None:
             priority = account.priority
         return routed_requests.RoutedRequest(
             request=request,
             route=route,
-            service=self.service(route),
+            service=self.choose_service(route),
             account=account.name if account is not None else "",
             priority=priority,
             config_version=config.version,
         )
 
-    def account(
+    def find_account(
         self,
         config: routing_config.RoutingConfig,
         route: routes.Route,
@@ -261,7 +267,7 @@
             raise errors.MissingKey("The request has no bearer key.")
         raise errors.WrongKey("The bearer key belongs to no account.")
 
-    def service(self, route: routes.Route) -> str:
+    def choose_service(self, route: routes.Route) -> str:
         """Picks a service at random, weighted by the route's shares.
 
         Raises:
@@ -279,14 +285,14 @@
         return self.shared.rng.choices(shares, weights)[0].service
 
 
-def leaving() -> errors.AlmondshiftError:
+def node_leaving_error() -> errors.AlmondshiftError:
     """Returns the error of a node that is shutting down."""
     return errors.NodeLeaving(
         "This node is shutting down.", retry_after_s=runs.LEAVING_RETRY_S
     )
 
 
-def out_of_date() -> errors.AlmondshiftError:
+def outdated_config_error() -> errors.AlmondshiftError:
     """Returns the error of a node whose configuration may be out of date."""
     return errors.ServiceNotReady(
         "The configuration of this node may be out of date.",
--- a/src/almondshift/relay/group.py
+++ b/src/almondshift/relay/group.py
@@ -34,34 +34,34 @@
 ASK_TIMEOUT_S = 0.4
 """Time-out of a request to a peer, in seconds."""
 
-ASKED_PEERS = 2
+PEERS_PER_REQUEST = 2
 """Number of peers asked at once; one of them is likely to reach the store."""
 
-NAMED_S = 3.5
+MAX_ADVERTISED_SILENCE_S = 3.5
 """Maximum time since the last heartbeat of a peer whose address is given to
 callers, in seconds."""
 
-FEWEST_NAMED = 4
+MIN_ADVERTISED_PEERS = 4
 """Minimum number of peers with a recent heartbeat. With fewer, this node's own
 link is likely at fault, and callers are given all live peers."""
 
 RETRY_S = 0.3
-SEEDS_READ = 500
+MAX_NODE_ROWS = 500
 
-PEERS_FRESH_S = 0.1
+PEER_LIST_TTL_S = 0.1
 """Time for which the list of peers is cached, in seconds. Its content changes
 over seconds, while it is used for each response to callers, each read of the
 store on behalf of peers and each tick."""
 
-PEERS_FRESH_S_PER_PEER = 0.001
+PEER_LIST_TTL_PER_PEER_S = 0.001
 """The same per peer, if that is longer. Building the list takes a few
 microseconds per peer; this bounds its share of a core."""
 
-SWEEP_EACH_S = 120.0
+SWEEP_INTERVAL_S = 120.0
 """Interval between sweeps of node rows, in seconds. Nodes are replaced a few
 times a day, and peers know a node that starts within seconds."""
 
-READ_EACH_S = 60.0
+READ_INTERVAL_S = 60.0
 """Interval between reads of all node rows, in seconds. A node writes its row
 before it reads, so of any two that start together at least one finds the other.
 Later reads only help groups that lost contact."""
@@ -75,7 +75,7 @@
     Attributes:
         stale: Revisions of the rows, by name, whose nodes no peer knew at the
             last sweep.
-        found: Peer addresses in the rows that were read last.
+        addresses: Peer addresses in the rows that were read last.
         names: Node names in the rows that were read last; empty before the
             first read.
     """
@@ -86,7 +86,7 @@
         self.name = ""
         self.peer_address = ""
         self.stale: dict[str, int] = {}
-        self.found: list[str] = []
+        self.addresses: list[str] = []
         self.names: list[str] = []
         self.next_read_at = 0.0
 
@@ -112,16 +112,16 @@
     async def peer_addresses(self) -> list[str]:
         """Returns peer addresses; the last known ones if the store fails."""
         if self.clock.monotonic() < self.next_read_at:
-            return self.found
-        rows = await self.store.scan(TABLE, "", SEEDS_READ)
+            return self.addresses
+        rows = await self.store.scan(TABLE, "", MAX_NODE_ROWS)
         if rows.is_ok():
-            self.next_read_at = self.clock.monotonic() + READ_EACH_S
+            self.next_read_at = self.clock.monotonic() + READ_INTERVAL_S
             self.names = [row.key for row in rows.ok]
             found = [str(row.value.get("peer", "")) for row in rows.ok]
-            self.found = [address for address in found if address]
+            self.addresses = [address for address in found if address]
             if self.name and self.name not in self.names:
                 await self.announce(self.name, self.peer_address)
-        return self.found
+        return self.addresses
 
     def is_among_first(self, count: int) -> bool:
         """Returns whether fewer than ``count`` rows have smaller names.
@@ -144,7 +144,7 @@
         Args:
             known: Names of this node and of all its peers.
         """
-        read = await self.store.scan(TABLE, "", SEEDS_READ)
+        read = await self.store.scan(TABLE, "", MAX_NODE_ROWS)
         if read.is_error():
             return []
         unknown = {r.key: r.revision for r in read.ok if r.key not in known}
@@ -178,20 +178,20 @@
     Attributes:
         members: Membership and message exchange with peers.
         states: State of each peer as last logged, by name.
-        known: Cached list of peers.
-        logged: The list of peers of the last ``log_changes``.
-        known_readers: Readers chosen from the cached list; None if not chosen
+        cached_peers: Cached list of peers.
+        logged_peers: The list of peers of the last ``log_changes``.
+        cached_readers: Readers chosen from the cached list; None if not chosen
             yet.
-        known_until: Monotonic time at which the cached list expires.
+        cache_expires_at: Monotonic time at which the cached list expires.
     """
 
     def __init__(self, members: membership.Membership) -> None:
         self.members = members
         self.states: dict[str, peer_types.PeerState] = {}
-        self.known: list[peer_types.PeerInfo] = []
-        self.logged: list[peer_types.PeerInfo] = []
-        self.known_readers: feed_readers.Readers | None = None
-        self.known_until = -math.inf
+        self.cached_peers: list[peer_types.PeerInfo] = []
+        self.logged_peers: list[peer_types.PeerInfo] = []
+        self.cached_readers: feed_readers.Readers | None = None
+        self.cache_expires_at = -math.inf
 
     async def start(self) -> None:
         """Starts the exchange with peers."""
@@ -209,23 +209,23 @@
     def readers(self) -> feed_readers.Readers:
         """Returns the nodes that follow the store's tables for the group."""
         serving = self.serving()
-        if self.known_readers is None:
+        if self.cached_readers is None:
             nodes = [feed_readers.GroupNode(self.name, self.zone)]
             nodes += [
                 feed_readers.GroupNode(peer.name, peer.zone) for peer in serving
             ]
-            self.known_readers = feed_readers.chosen_readers(nodes)
-        return self.known_readers
+            self.cached_readers = feed_readers.chosen_readers(nodes)
+        return self.cached_readers
 
     def peers(self) -> list[peer_types.PeerInfo]:
         """Returns all peers, from a list that is cached briefly."""
         now = self.members.clock.monotonic()
-        if now >= self.known_until:
-            self.known = self.members.peers()
-            self.known_readers = None
-            per_peer_s = len(self.known) * PEERS_FRESH_S_PER_PEER
-            self.known_until = now + max(PEERS_FRESH_S, per_peer_s)
-        return self.known
+        if now >= self.cache_expires_at:
+            self.cached_peers = self.members.peers()
+            self.cached_readers = None
+            per_peer_s = len(self.cached_peers) * PEER_LIST_TTL_PER_PEER_S
+            self.cache_expires_at = now + max(PEER_LIST_TTL_S, per_peer_s)
+        return self.cached_peers
 
     def names(self) -> frozenset[str]:
         """Returns the names of this node and of all peers not yet removed."""
@@ -236,7 +236,7 @@
         alive = peer_types.PeerState.ALIVE
         return [peer for peer in self.peers() if peer.state is alive]
 
-    def named(self) -> list[peer_types.PeerInfo]:
+    def advertised(self) -> list[peer_types.PeerInfo]:
         """Returns the peers whose addresses are given to callers.
 
         Only peers with a recent heartbeat, if there are enough of them. In a
@@ -244,8 +244,10 @@
         that lost power until it is suspected.
         """
         serving = self.serving()
-        fresh = [peer for peer in serving if peer.heard_s <= NAMED_S]
-        return fresh if len(fresh) >= FEWEST_NAMED else serving
+        fresh = [
+            peer for peer in serving if peer.heard_s <= MAX_ADVERTISED_SILENCE_S
+        ]
+        return fresh if len(fresh) >= MIN_ADVERTISED_PEERS else serving
 
     def is_alive(self, name: str) -> bool:
         """Returns whether a peer is alive and not shutting down."""
@@ -262,7 +264,9 @@
     async def ask(self, topic: str, body: bytes) -> list[bytes]:
         """Sends a request to a few random peers; returns their responses."""
         known = [peer.name for peer in self.serving()]
-        chosen = self.members.rng.sample(known, min(ASKED_PEERS, len(known)))
+        chosen = self.members.rng.sample(
+            known, min(PEERS_PER_REQUEST, len(known))
+        )
         answers = await asyncio.gather(
             *(
                 self.members.ask(name, topic, body, ASK_TIMEOUT_S)
@@ -271,7 +275,7 @@
         )
         return [answer.ok for answer in answers if answer.is_ok()]
 
-    def answer(
+    def register_handler(
         self, topic: str, handler: Callable[[str, bytes], Awaitable[bytes]]
     ) -> None:
         """Registers the handler of peers' requests on a topic."""
@@ -282,17 +286,17 @@
         """This node's name."""
         return self.members.node.name
 
-    def tell(
+    def publish_fact(
         self, kind: peer_port.FactKind, key: str, value: bytes, ttl_s: float
     ) -> None:
         """Publishes a fact to all peers."""
         self.members.publish(kind, key, value, ttl_s)
 
-    def is_told(self, kind: peer_port.FactKind, key: str) -> bool:
+    def is_published(self, kind: peer_port.FactKind, key: str) -> bool:
         """Returns whether some node currently publishes this fact."""
         return key in self.members.facts(kind)
 
-    def on_told(
+    def subscribe_facts(
         self, kind: peer_port.FactKind, callback: shared_facts.Callback
     ) -> None:
         """Subscribes to facts that peers publish."""
@@ -301,9 +305,9 @@
     def log_changes(self) -> None:
         """Logs peers that joined, left or changed state since the last call."""
         peers = self.peers()
-        if peers is self.logged:
+        if peers is self.logged_peers:
             return
-        self.logged = peers
+        self.logged_peers = peers
         present = {peer.name: peer for peer in peers}
         for name, peer in present.items():
             former = self.states.get(name)
--- a/src/almondshift/relay/layer_keeper.py
+++ b/src/almondshift/relay/layer_keeper.py
@@ -21,7 +21,7 @@
 
 TICK_S = 0.2
 
-SETTLED_S = 1.0
+FLEET_SETTLE_S = 1.0
 """Time without a new engine after which a fleet without layers is planned, in
 seconds. Engines register within a few seconds of each other, and a plan for the
 first few would have to be undone."""
@@ -30,17 +30,18 @@
 """Time-out of an order, in seconds. Engines answer within milliseconds, but
 some answers are lost."""
 
-AGAIN_S = 1.0
+RESEND_S = 1.0
 """Time after which an unanswered order is sent again, in seconds. The order
 carries the number of orders before it, so it cannot be executed twice."""
 
 NO_ORDERS = 0
 """Orders accepted by an engine that has held no layers since its start."""
 
-LOAD_FACTOR = 3.0
-LOAD_EXTRA_S = 4.0
+LOAD_TIMEOUT_FACTOR = 3.0
+LOAD_TIMEOUT_EXTRA_S = 4.0
 """Time allowed for an order: the estimated load time multiplied by
-``LOAD_FACTOR``, plus these seconds. Concurrent loads share the weight store."""
+``LOAD_TIMEOUT_FACTOR``, plus these seconds. Concurrent loads share the weight
+store."""
 
 logger = logging.getLogger(__name__)
 
@@ -50,9 +51,9 @@
     """An order that was sent.
 
     Attributes:
-        until: Monotonic time until which its layers count as held, even if the
-            registry does not list them yet.
-        again_at: Monotonic time at which to send it again; None if no resend
+        valid_until: Monotonic time until which its layers count as held, even
+            if the registry does not list them yet.
+        resend_at: Monotonic time at which to send it again; None if no resend
             is due.
         is_unanswered: Whether the engine did not answer or refused it. The
             plan then assigns the layers to other engines as well while the
@@ -60,8 +61,8 @@
     """
 
     layers: model_layers.LayerRange
-    until: float
-    again_at: float | None = None
+    valid_until: float
+    resend_at: float | None = None
     is_unanswered: bool = False
 
 
@@ -70,12 +71,12 @@
 
     Attributes:
         pending: Orders that were sent, by instance.
-        expected: Number of orders that each engine has accepted, if known, by
-            instance.
-        newest_at: Monotonic time at which an engine without layers was last
-            seen as new or changed.
-        settled: The fleet for which the last plan needed no orders, by service;
-            it is not planned again until it changes.
+        accepted_orders: Number of orders that an engine has accepted, by
+            instance; missing if not known.
+        last_new_engine_at: Monotonic time at which an engine without layers was
+            last new or changed.
+        settled_fleets: The fleet for which the last plan needed no orders, by
+            service; it is not planned again until it changes.
     """
 
     def __init__(
@@ -86,22 +87,22 @@
         self.shared = shared
         self.lease = lease
         self.pending: dict[str, PendingOrder] = {}
-        self.expected: dict[str, int] = {}
-        self.newest_at = shared.clock.monotonic()
+        self.accepted_orders: dict[str, int] = {}
+        self.last_new_engine_at = shared.clock.monotonic()
         self.had_grant = False
-        self.settled: dict[str, list[layer_holdings.PlannedEngine]] = {}
-        self.orders = background.Background()
+        self.settled_fleets: dict[str, list[layer_holdings.PlannedEngine]] = {}
+        self.work = background.Background()
 
     async def start(self) -> None:
         """Starts to contend for the lease and to place layers."""
         self.shared.catalogue.on_engine.append(self.engine_changed)
         self.shared.catalogue.on_gone.append(self.engine_gone)
         await self.lease.start()
-        self.orders.repeat(TICK_S, self.tick, "layers could not be placed")
+        self.work.repeat(TICK_S, self.tick, "layers could not be placed")
 
     async def close(self) -> None:
         """Stops, and releases the lease."""
-        await self.orders.close()
+        await self.work.close()
         await self.lease.close()
 
     def engine_changed(
@@ -109,16 +110,16 @@
     ) -> None:
         """Records which layers an engine holds now."""
         if engine.layers is None:
-            self.newest_at = self.shared.clock.monotonic()
+            self.last_new_engine_at = self.shared.clock.monotonic()
         pending = self.pending.get(engine.instance)
         if pending is not None and pending.layers == engine.layers:
             del self.pending[engine.instance]
-        self.expected.pop(engine.instance, None)
+        self.accepted_orders.pop(engine.instance, None)
 
     def engine_gone(self, engine: registered_engines.RegisteredEngine) -> None:
         """Forgets an engine."""
         self.pending.pop(engine.instance, None)
-        self.expected.pop(engine.instance, None)
+        self.accepted_orders.pop(engine.instance, None)
 
     def tick(self) -> None:
         """Plans and sends orders if this node holds the lease."""
@@ -130,7 +131,7 @@
         if config is None:
             return
         now = self.shared.clock.monotonic()
-        self.send_again(now, grant)
+        self.resend_orders(now, grant)
         for service in config.services:
             view = self.shared.catalogue.view(service)
             if view is not None:
@@ -160,20 +161,20 @@
     ) -> None:
         """Plans a service's layers and sends the orders."""
         planned = self.planned(view, now)
-        if not planned or planned == self.settled.get(view.service):
+        if not planned or planned == self.settled_fleets.get(view.service):
             return
         is_fresh = all(engine.held is None for engine in planned)
-        if is_fresh and now - self.newest_at < SETTLED_S:
+        if is_fresh and now - self.last_new_engine_at < FLEET_SETTLE_S:
             return
         orders = layer_plan.plan_orders(planned, view.spec)
         if not orders:
-            self.settled[view.service] = planned
+            self.settled_fleets[view.service] = planned
         engines = {engine.instance: engine for engine in view.engines}
         for order in orders:
             load_s = view.spec.load_s * order.layers.count / view.spec.layers
-            until = now + load_s * LOAD_FACTOR + LOAD_EXTRA_S
+            until = now + load_s * LOAD_TIMEOUT_FACTOR + LOAD_TIMEOUT_EXTRA_S
             self.pending[order.instance] = PendingOrder(order.layers, until)
-            self.send(engines[order.instance], order.layers, grant)
+            self.start_order(engines[order.instance], order.layers, grant)
 
     def planned(
         self, view: path_candidates.FleetView, now: float
@@ -206,7 +207,7 @@
     ) -> layer_holdings.PlannedEngine:
         """Returns an engine with its pending order applied, if any."""
         pending = self.pending.get(engine.instance)
-        if pending is None or now >= pending.until:
+        if pending is None or now >= pending.valid_until:
             return engine
         certain = None
         if pending.is_unanswered and engine.held is not None:
@@ -219,22 +220,22 @@
             certain=certain,
         )
 
-    def send_again(
+    def resend_orders(
         self, now: float, grant: coordination_lease.LeaseGrant
     ) -> None:
         """Resends orders that are due; drops those whose time is over."""
         for instance, pending in list(self.pending.items()):
-            if pending.until <= now:
+            if pending.valid_until <= now:
                 del self.pending[instance]
                 continue
-            if pending.again_at is None or pending.again_at > now:
+            if pending.resend_at is None or pending.resend_at > now:
                 continue
             engine = self.shared.catalogue.engines.get(instance)
-            pending.again_at = None
+            pending.resend_at = None
             if engine is not None:
-                self.send(engine, pending.layers, grant)
+                self.start_order(engine, pending.layers, grant)
 
-    def send(
+    def start_order(
         self,
         engine: registered_engines.RegisteredEngine,
         layers: model_layers.LayerRange,
@@ -246,20 +247,23 @@
             logger,
             log_events.OrderSent(engine.instance, order, grant.fencing),
         )
-        self.orders.run(self.order(engine, layers, order))
+        self.work.run(self.deliver_order(engine, layers, order))
 
-    async def order(
+    async def deliver_order(
         self,
         engine: registered_engines.RegisteredEngine,
         layers: model_layers.LayerRange,
         order: str,
     ) -> None:
         """Sends an order and records its outcome."""
-        if engine.layers is not None and engine.instance not in self.expected:
+        if (
+            engine.layers is not None
+            and engine.instance not in self.accepted_orders
+        ):
             answers = await self.learn_orders(engine)
             if not answers:
                 self.note_unanswered(engine.instance, layers)
-        expected = self.expected.get(engine.instance, NO_ORDERS)
+        expected = self.accepted_orders.get(engine.instance, NO_ORDERS)
         sent_at = self.shared.clock.monotonic()
         answer = await self.shared.engines.place(
             engine.address,
@@ -284,12 +288,12 @@
             return
         if answer.outcome is path_engines.OrderOutcome.CONFLICT:
             await self.learn_orders(engine)
-            pending.again_at = self.shared.clock.monotonic() + AGAIN_S
+            pending.resend_at = self.shared.clock.monotonic() + RESEND_S
         elif answer.outcome in (
             path_engines.OrderOutcome.UNKNOWN,
             path_engines.OrderOutcome.REFUSED,
         ):
-            pending.again_at = now + AGAIN_S
+            pending.resend_at = now + RESEND_S
             pending.is_unanswered = True
         else:
             pending.is_unanswered = False
@@ -319,7 +323,7 @@
         if report is None or report.born_ms not in (0, engine.born_ms):
             return False
         if not report.busy:
-            self.expected[engine.instance] = report.orders
+            self.accepted_orders[engine.instance] = report.orders
         return True
 
 
--- a/src/almondshift/relay/lost_engines.py
+++ b/src/almondshift/relay/lost_engines.py
@@ -28,7 +28,7 @@
     from almondshift.relay import group as relay_group
     from almondshift.relay import observer
 
-TOLD = {
+FACT_KINDS = {
     engine_book.Suspicion.UNREACHABLE: peers.FactKind.ENGINE_LOST,
     engine_book.Suspicion.STALLED: peers.FactKind.ENGINE_LOST,
     engine_book.Suspicion.DRAINING: peers.FactKind.LEAVING,
@@ -43,8 +43,9 @@
 
     Attributes:
         group: The other nodes; None before this node has joined them.
-        on_told: Called with an engine that a peer found dead, and the peer.
-        is_heard: Returns whether streams currently receive events from an
+        on_peer_report: Called with an engine that a peer found dead, and the
+            peer's name.
+        is_streaming: Returns whether streams currently receive events from an
             engine.
     """
 
@@ -53,22 +54,22 @@
         clock: clocks.Clock,
         registry: catalogue.Catalogue,
         book: engine_book.EngineBook,
-        seen: observer.RelayObserver,
+        relay_observer: observer.RelayObserver,
     ) -> None:
         self.clock = clock
         self.catalogue = registry
         self.book = book
-        self.observer = seen
+        self.observer = relay_observer
         self.group: relay_group.Group | None = None
-        self.on_told: Callable[
+        self.on_peer_report: Callable[
             [registered_engines.RegisteredEngine, str], None
         ] = lambda engine, peer: None
-        self.is_heard: Callable[[str], bool] = lambda instance: False
+        self.is_streaming: Callable[[str], bool] = lambda instance: False
 
-    def join(self, joined: relay_group.Group) -> None:
+    def join(self, node_group: relay_group.Group) -> None:
         """Starts to exchange facts about dead engines with peers."""
-        self.group = joined
-        joined.on_told(peers.FactKind.ENGINE_LOST, self.take_fact)
+        self.group = node_group
+        node_group.subscribe_facts(peers.FactKind.ENGINE_LOST, self.handle_fact)
 
     def suspect(self, instance: str, reason: engine_book.Suspicion) -> None:
         """Ejects an engine for a while, and notifies peers.
@@ -76,8 +77,8 @@
         An engine that accepts no connections but still sends events is not
         dead: it closed its port to drain. Peers verify this themselves.
         """
-        kind = TOLD.get(reason)
-        if reason is engine_book.Suspicion.UNREACHABLE and self.is_heard(
+        kind = FACT_KINDS.get(reason)
+        if reason is engine_book.Suspicion.UNREACHABLE and self.is_streaming(
             instance
         ):
             reason = engine_book.Suspicion.DRAINING
@@ -90,11 +91,13 @@
         )
         if self.group is None or kind is None:
             return
-        if not self.group.is_told(kind, instance):
+        if not self.group.is_published(kind, instance):
             value = f'"{reason.value}"'.encode()
-            self.group.tell(kind, instance, value, engine_book.SUSPECT_S)
+            self.group.publish_fact(
+                kind, instance, value, engine_book.SUSPECT_S
+            )
 
-    def take_fact(self, key: str, fact: peers.Fact | None) -> None:
+    def handle_fact(self, key: str, fact: peers.Fact | None) -> None:
         """Handles a peer's fact about an engine."""
         if fact is None or self.group is None:
             return
@@ -102,14 +105,14 @@
             return
         engine = self.catalogue.engines.get(key)
         if engine is not None:
-            self.on_told(engine, fact.origin)
+            self.on_peer_report(engine, fact.origin)
 
 
 def create_lost_engines(
     clock: clocks.Clock,
     registry: catalogue.Catalogue,
     book: engine_book.EngineBook,
-    seen: observer.RelayObserver,
+    relay_observer: observer.RelayObserver,
 ) -> LostEngines:
     """Creates an exchange of dead engines; ``join`` connects it to peers."""
-    return LostEngines(clock, registry, book, seen)
+    return LostEngines(clock, registry, book, relay_observer)
--- a/src/almondshift/relay/path_probe.py
+++ b/src/almondshift/relay/path_probe.py
@@ -40,11 +40,11 @@
 """Time after which a second query is sent while the first one is pending, in
 seconds."""
 
-HEARD_S = 0.04
+MAX_PROOF_AGE_S = 0.04
 """Maximum age of the latest event that proves that this node's own link works,
 in seconds."""
 
-STARVED_S = 0.04
+MAX_OVERRUN_S = 0.04
 """Maximum overrun of a round's time-outs, in seconds. Beyond it the result is
 discarded, as this process was not scheduled."""
 
@@ -69,7 +69,7 @@
         self.questions = questions
         self.backoffs: dict[str, probe_timing.ProbeBackoff] = {}
 
-    def look(self, now: float) -> None:
+    def start_due_round(self, now: float) -> None:
         """Starts a round if streams are silent and an engine is due.
 
         Backoff is per engine: a stream that waits for a busy engine must not
@@ -114,7 +114,7 @@
             (run, attempt)
             for run, attempt in present
             if now - attempt.active_at >= probe_timing.LEAST_SILENT_S
-            and now - attempt.active_at >= patience_s(run)
+            and now - attempt.active_at >= silence_limit_s(run)
         ]
         if not silent:
             return {}
@@ -166,7 +166,7 @@
         await asyncio.gather(*(self.check(part) for part in parts))
 
     async def check(
-        self, part: relayed.PathPart, is_witnessed: bool = False
+        self, part: relayed.PathPart, is_peer_report: bool = False
     ) -> None:
         """Checks one engine and moves streams off it if it is dead.
 
@@ -175,15 +175,15 @@
 
         Args:
             part: The engine.
-            is_witnessed: Whether another node found it dead too. Then this
+            is_peer_report: Whether another node found it dead too. Then this
                 node's own link is not at fault and needs no proof.
         """
         if await self.answers(part):
             self.answered.set()
             return
-        if not is_witnessed and not await self.hears_others():
+        if not is_peer_report and not await self.is_own_link_up():
             return
-        limit_s = SECOND_QUERY_S + 2 * ANSWER_S + STARVED_S
+        limit_s = SECOND_QUERY_S + 2 * ANSWER_S + MAX_OVERRUN_S
         if self.loop.time() - self.started_at > limit_s:
             return
         self.moves.engine_lost(part.instance, engine_book.Suspicion.UNREACHABLE)
@@ -192,12 +192,12 @@
 
     async def answers(self, part: relayed.PathPart) -> bool:
         """Returns whether an engine answers one of two overlapping queries."""
-        queries = {asyncio.ensure_future(self.ask(part))}
+        queries = {asyncio.ensure_future(self.query(part))}
         try:
             done, _ = await asyncio.wait(queries, timeout=SECOND_QUERY_S)
             if any(query.result() for query in done):
                 return True
-            queries.add(asyncio.ensure_future(self.ask(part)))
+            queries.add(asyncio.ensure_future(self.query(part)))
             for answered in asyncio.as_completed(queries):
                 if await answered:
                     return True
@@ -206,7 +206,7 @@
             for query in queries:
                 query.cancel()
 
-    async def ask(self, part: relayed.PathPart) -> bool:
+    async def query(self, part: relayed.PathPart) -> bool:
         """Queries an engine; records its pace if it answers."""
         report = await self.questions.report(
             part.instance, part.address, ANSWER_S
@@ -217,12 +217,15 @@
         self.shared.book.note_pace(part.instance, report.pace, now)
         return True
 
-    async def hears_others(self) -> bool:
+    async def is_own_link_up(self) -> bool:
         """Returns whether some engine answers or sends events at present."""
         now = self.loop.time()
         for run in self.moves.streams():
             attempt = run.attempt
-            if attempt is not None and now - attempt.active_at < HEARD_S:
+            if (
+                attempt is not None
+                and now - attempt.active_at < MAX_PROOF_AGE_S
+            ):
                 return True
         try:
             async with asyncio.timeout(ANSWER_S):
@@ -232,7 +235,7 @@
         return True
 
 
-def patience_s(run: stream_run.StreamRun) -> float:
+def silence_limit_s(run: stream_run.StreamRun) -> float:
     """Returns the silence of a stream that starts a round, in seconds."""
     return probe_timing.patience_s(
         run.events_sent, run.progress_at - run.first_at
--- a/src/almondshift/relay/peer_rows.py
+++ b/src/almondshift/relay/peer_rows.py
@@ -8,11 +8,11 @@
 
 from almondshift.ports import row_feeds
 
-NEVER_S = 1e9
+NEVER_CONFIRMED_AGE_S = 1e9
 """Age of a copy that the store never confirmed, in seconds."""
 
 
-class RowQuestion(msgspec.Struct):
+class RowRequest(msgspec.Struct):
     """A request for rows of a table.
 
     Attributes:
@@ -51,25 +51,25 @@
     revision: int
     rows: list[PeerRow]
     is_whole: bool = False
-    age_s: float = NEVER_S
+    age_s: float = NEVER_CONFIRMED_AGE_S
     unchanged: list[str] = []
 
 
-QUESTIONS = msgspec.json.Decoder(RowQuestion)
-ANSWERS = msgspec.json.Decoder(PeerRows)
+REQUEST_DECODER = msgspec.json.Decoder(RowRequest)
+ANSWER_DECODER = msgspec.json.Decoder(PeerRows)
 
 
-def encode_question(question: RowQuestion) -> bytes:
+def encode_request(request: RowRequest) -> bytes:
     """Encodes a request."""
-    return msgspec.json.encode(question)
+    return msgspec.json.encode(request)
 
 
-def decode_question(body: bytes) -> RowQuestion:
+def decode_request(body: bytes) -> RowRequest:
     """Decodes a request; one that is malformed requests all rows."""
     try:
-        return QUESTIONS.decode(body)
+        return REQUEST_DECODER.decode(body)
     except msgspec.DecodeError:
-        return RowQuestion(after=-1)
+        return RowRequest(after=-1)
 
 
 def encode_answer(change: row_feeds.TableChange) -> bytes:
@@ -94,7 +94,7 @@
     Raises:
         ValueError: The answer or one of its rows is malformed.
     """
-    decoded = ANSWERS.decode(answer)
+    decoded = ANSWER_DECODER.decode(answer)
     return row_feeds.TableChange(
         rows=tuple(
             row_feeds.FeedRow(row.key, _decoded(row.value), row.revision)
--- a/src/almondshift/relay/plain_run.py
+++ b/src/almondshift/relay/plain_run.py
@@ -21,7 +21,7 @@
 MAX_BODY_BYTES = 16_000_000
 """Maximum response body; responses are buffered before they are forwarded."""
 
-PATIENCE_FACTOR = 2.0
+SLOW_FACTOR = 2.0
 """Multiple of the route's latency objective after which an idempotent request
 is sent to another endpoint."""
 
@@ -75,7 +75,7 @@
     ) -> None:
         super().__init__(routed, responder, shared)
         self.attempt: PlainAttempt | None = None
-        self.patience: asyncio.TimerHandle | None = None
+        self.slow_timer: asyncio.TimerHandle | None = None
         self.tried: frozenset[str] = frozenset()
         self.last_failure: PlainAttempt | None = None
 
@@ -97,7 +97,7 @@
             chosen.instance,
             self.shared.endpoints.record(chosen.instance).in_flight,
         )
-        self.unrefused += 1
+        self.unrefused_sends += 1
         self.attempt.forwarded = self.shared.engines.forward(
             self.routed.request,
             relayed.Forwarding(
@@ -111,7 +111,7 @@
             ),
             self.attempt,
         )
-        self.watch_patience()
+        self.start_slow_timer()
 
     def untried(self) -> list[registered_engines.RegisteredEngine]:
         """Returns the available endpoints that have not been tried yet."""
@@ -123,18 +123,18 @@
             and not self.shared.book.is_suspect(e.instance)
         ]
 
-    def watch_patience(self) -> None:
+    def start_slow_timer(self) -> None:
         """Starts a timer for the first endpoint of an idempotent request."""
         route = self.routed.route
         if not route.may_repeat or self.sends >= route.max_attempts:
             return
         if self.sends > 1:
             return
-        self.patience = self.loop.call_later(
-            route.objective_s * PATIENCE_FACTOR, self.lose_patience
+        self.slow_timer = self.loop.call_later(
+            route.objective_s * SLOW_FACTOR, self.leave_slow_endpoint
         )
 
-    def lose_patience(self) -> None:
+    def leave_slow_endpoint(self) -> None:
         """Sends the request to another endpoint, as the first one is slow."""
         attempt = self.attempt
         if attempt is None or self.ended or attempt.over:
@@ -154,7 +154,7 @@
     def may_repeat_after(self, is_not_run: bool) -> bool:
         """Counts the current attempt; returns whether a retry is allowed."""
         if not is_not_run:
-            self.ran_on += 1
+            self.possible_runs += 1
         return self.may_repeat(is_not_run)
 
     def attempt_ended(
@@ -166,14 +166,14 @@
         """Passes the response on, retries elsewhere or gives up."""
         if attempt is not self.attempt:
             return
-        self.stop_patience()
+        self.cancel_slow_timer()
         self.attempt = None
         now = self.shared.clock.monotonic()
         instance = attempt.endpoint.instance
         head = attempt.head
         if ending is path_engines.Ending.WHOLE and head is not None:
             if head.not_run:
-                self.take_refusal(attempt, head)
+                self.handle_refusal(attempt, head)
                 return
             seconds = self.loop.time() - attempt.sent_at
             if head.status < SERVER_ERROR and head.genuine:
@@ -183,18 +183,18 @@
                 self.pass_on(attempt, head)
                 return
             self.shared.endpoints.failed(instance, now)
-            self.take_failure(attempt, f"status {head.status}")
+            self.handle_failure(attempt, f"status {head.status}")
             return
         if ending is path_engines.Ending.NOT_SENT:
             self.shared.endpoints.missed(instance, now)
-            self.go_on(attempt, reason, is_not_run=True)
+            self.retry_or_end(attempt, reason, is_not_run=True)
             return
         self.shared.endpoints.failed(instance, now)
         if ending is path_engines.Ending.BROKEN:
             self.shared.crashes.note_broken(self.routed, self.sends, instance)
-        self.go_on(attempt, reason, is_not_run=False)
+        self.retry_or_end(attempt, reason, is_not_run=False)
 
-    def take_refusal(
+    def handle_refusal(
         self, attempt: PlainAttempt, head: relayed.ForwardedHead
     ) -> None:
         """Continues after an endpoint that did not run the request."""
@@ -203,9 +203,11 @@
         if head.status == 421:
             self.shared.book.suspect(instance, engine_book.Suspicion.GONE, now)
         self.shared.endpoints.failed(instance, now)
-        self.go_on(attempt, f"refused with {head.status}", is_not_run=True)
+        self.retry_or_end(
+            attempt, f"refused with {head.status}", is_not_run=True
+        )
 
-    def take_failure(self, attempt: PlainAttempt, reason: str) -> None:
+    def handle_failure(self, attempt: PlainAttempt, reason: str) -> None:
         """Retries elsewhere, or passes the endpoint's error response on."""
         head = attempt.head
         assert head is not None
@@ -217,26 +219,26 @@
             self.begin()
             return
         if head.status < SERVER_ERROR or not head.genuine:
-            self.refuse(self.unknown_error(reason))
+            self.refuse(self.may_have_run_error(reason))
             return
         self.pass_on(attempt, head)
 
-    def go_on(
+    def retry_or_end(
         self, attempt: PlainAttempt, reason: str, is_not_run: bool
     ) -> None:
         """Retries elsewhere if that is allowed, or gives up."""
         if is_not_run:
-            self.unrefused -= 1
+            self.unrefused_sends -= 1
         instance = attempt.endpoint.instance
         if self.may_repeat_after(is_not_run):
             self.note_failed(instance, reason, is_not_run, runs.SENT_ELSEWHERE)
             self.begin()
             return
         self.note_failed(instance, reason, is_not_run, runs.GIVEN_UP)
-        if is_not_run and self.ran_on == 0:
+        if is_not_run and self.possible_runs == 0:
             self.give_up(reason)
             return
-        self.refuse(self.unknown_error(reason))
+        self.refuse(self.may_have_run_error(reason))
 
     def give_up(self, reason: str) -> None:
         """Ends with the last error response, or with an error of this node."""
@@ -244,10 +246,10 @@
         if failure is not None and failure.head is not None:
             self.pass_on(failure, failure.head)
             return
-        if self.ran_on:
-            self.refuse(self.unknown_error(reason))
+        if self.possible_runs:
+            self.refuse(self.may_have_run_error(reason))
             return
-        self.refuse_full(reason)
+        self.refuse_no_capacity(reason)
 
     def pass_on(
         self, attempt: PlainAttempt, head: relayed.ForwardedHead
@@ -260,11 +262,11 @@
         )
         self.answered()
 
-    def stop_patience(self) -> None:
+    def cancel_slow_timer(self) -> None:
         """Cancels the timer for the first endpoint."""
-        if self.patience is not None:
-            self.patience.cancel()
-            self.patience = None
+        if self.slow_timer is not None:
+            self.slow_timer.cancel()
+            self.slow_timer = None
 
     def drop_attempt(self, failed: bool) -> None:
         """Cancels the current attempt.
@@ -288,7 +290,7 @@
 
     def cancel_work(self) -> None:
         """Cancels the work of the endpoint."""
-        self.stop_patience()
+        self.cancel_slow_timer()
         self.drop_attempt(failed=False)
 
     def length(self) -> float:
--- a/src/almondshift/relay/refusing_engines.py
+++ b/src/almondshift/relay/refusing_engines.py
@@ -60,15 +60,15 @@
         self.checked_at: dict[str, float] = {}
         self.work = background.Background()
 
-    def join(self, joined: relay_group.Group) -> None:
+    def join(self, node_group: relay_group.Group) -> None:
         """Subscribes to facts of peers about draining engines."""
-        joined.on_told(peers.FactKind.LEAVING, self.take_fact)
+        node_group.subscribe_facts(peers.FactKind.LEAVING, self.handle_fact)
 
     async def close(self) -> None:
         """Cancels the checks."""
         await self.work.close()
 
-    def take_fact(self, key: str, fact: peers.Fact | None) -> None:
+    def handle_fact(self, key: str, fact: peers.Fact | None) -> None:
         """Checks an engine that is draining according to a peer."""
         if fact is not None:
             self.check(key)
@@ -84,9 +84,11 @@
         if len(self.work) >= MAX_CHECKS:
             return
         self.checked_at[instance] = now
-        self.work.run(self.ask(engine))
+        self.work.run(self.check_health(engine))
 
-    async def ask(self, engine: registered_engines.RegisteredEngine) -> None:
+    async def check_health(
+        self, engine: registered_engines.RegisteredEngine
+    ) -> None:
         """Ejects an engine if its health check fails."""
         if await self.is_healthy(engine) is not False:
             return
--- a/src/almondshift/relay/runs.py
+++ b/src/almondshift/relay/runs.py
@@ -39,11 +39,11 @@
     Attributes:
         started_at: Loop time of its arrival.
         deadline_at: Loop time at which its response is due.
-        caller_until: Loop time until which the caller waits.
+        caller_deadline_at: Loop time until which the caller waits.
         sends: Number of times it was sent.
-        ran_on: Number of live endpoints that may have run it.
-        unrefused: Number of sends for which no endpoint reported that it did
-            not run the request.
+        possible_runs: Number of live endpoints that may have run it.
+        unrefused_sends: Number of sends for which no endpoint reported that it
+            did not run the request.
     """
 
     def __init__(
@@ -61,12 +61,12 @@
         if routed.request.wait_s is not None:
             wait_s = min(wait_s, routed.request.wait_s)
         self.deadline_at = self.started_at + wait_s
-        self.caller_until = self.started_at + (
+        self.caller_deadline_at = self.started_at + (
             routed.request.wait_s or routed.route.timeout_s
         )
         self.sends = 0
-        self.ran_on = 0
-        self.unrefused = 0
+        self.possible_runs = 0
+        self.unrefused_sends = 0
         self.ended = False
         self.timer = self.loop.call_at(self.deadline_at, self.time_out)
         shared.running.add(self)
@@ -74,7 +74,7 @@
     @property
     def may_have_run(self) -> bool:
         """Whether any endpoint may have begun to run it."""
-        return self.unrefused > 0
+        return self.unrefused_sends > 0
 
     def begin(self) -> None:
         """Sends the request, unless this node stops before it would complete.
@@ -143,7 +143,7 @@
 
     def remaining_s(self) -> float:
         """Returns the seconds that the caller still waits."""
-        return max(0.0, self.caller_until - self.loop.time())
+        return max(0.0, self.caller_deadline_at - self.loop.time())
 
     def close(self) -> bool:
         """Ends the run; returns whether it had not ended before."""
@@ -203,7 +203,7 @@
             tokens=self.size(),
         )
 
-    def refuse_full(self, reason: str) -> None:
+    def refuse_no_capacity(self, reason: str) -> None:
         """Ends a run that found no capacity.
 
         The error differs if an endpoint may have begun to run the request.
@@ -242,10 +242,10 @@
         """
         self.note_cut()
         self.refuse(
-            self.unknown_error("This node stopped before the response.")
+            self.may_have_run_error("This node stopped before the response.")
         )
 
-    def unknown_error(self, reason: str) -> errors.AlmondshiftError:
+    def may_have_run_error(self, reason: str) -> errors.AlmondshiftError:
         """Returns the error of a request that may have run."""
         if self.routed.route.may_repeat:
             return errors.UpstreamFailed(reason)
@@ -304,7 +304,7 @@
         return (
             route.may_repeat
             and self.sends < MAX_SENDS
-            and self.ran_on + 1 < route.max_attempts
+            and self.possible_runs + 1 < route.max_attempts
             and self.shared.budget.has_room(
                 self.routed.service, self.shared.clock.monotonic()
             )
@@ -326,7 +326,7 @@
             return False
         if not is_not_run and not route.may_repeat:
             return False
-        if not is_not_run and self.ran_on >= route.max_attempts:
+        if not is_not_run and self.possible_runs >= route.max_attempts:
             return False
         return self.shared.budget.spend(
             self.routed.service, self.shared.clock.monotonic()
--- a/src/almondshift/relay/shared_feed.py
+++ b/src/almondshift/relay/shared_feed.py
@@ -19,10 +19,10 @@
     from almondshift.ports import stores
     from almondshift.relay import group as relay_group
 
-ANSWER_S = 0.4
+ANSWER_MARGIN_S = 0.4
 """Time for a reader's answer in addition to the requested wait, in seconds."""
 
-READERS_TRIED = 2
+MAX_READERS_TRIED = 2
 """Readers tried before the store itself; a third would only add delay. They are
 tried in random order, so that a reader that lost the store unnoticed delays
 changes by one request only: the other one has them."""
@@ -37,10 +37,10 @@
     Attributes:
         direct: The store.
         group: The other nodes; None before this node has joined them.
-        direct_at: Monotonic time before which the store is not called, as it
-            did not answer.
-        bad_until: Monotonic time until which a reader that failed is skipped,
-            by name.
+        next_store_call_at: Monotonic time before which the store is not called,
+            as it did not answer.
+        skipped_until: Monotonic time until which a reader that failed is
+            skipped, by name.
     """
 
     def __init__(
@@ -50,18 +50,18 @@
         self.clock = clock
         self.rng = rng
         self.group: relay_group.Group | None = None
-        self.direct_at = 0.0
-        self.bad_until: dict[str, float] = {}
+        self.next_store_call_at = 0.0
+        self.skipped_until: dict[str, float] = {}
 
     async def read_whole(self, table: str) -> Change:
         """Reads all rows of a table."""
-        question = peer_rows.RowQuestion(after=-1)
-        found = await self._ask_readers(table, question)
+        request = peer_rows.RowRequest(after=-1)
+        found = await self._ask_readers(table, request)
         if found is not None:
             return expression.Ok(found)
-        if self._must_wait():
-            return _away()
-        return self._noted(await self.direct.read_whole(table))
+        if self._is_backing_off():
+            return _unavailable()
+        return self._update_backoff(await self.direct.read_whole(table))
 
     async def wait_for_changes(
         self, table: str, after: int, wait_s: float
@@ -72,33 +72,33 @@
             See ``row_feeds.RowFeed.wait_for_changes``.
         """
         asked_s = min(wait_s, feed_readers.ASKED_WAIT_S)
-        question = peer_rows.RowQuestion(
+        request = peer_rows.RowRequest(
             after, asked_s, is_fresh=wait_s <= 0, takes_unchanged=True
         )
-        found = await self._ask_readers(table, question)
+        found = await self._ask_readers(table, request)
         if found is not None:
             return expression.Ok(found)
-        if self._must_wait():
-            return _away()
-        return self._noted(
+        if self._is_backing_off():
+            return _unavailable()
+        return self._update_backoff(
             await self.direct.wait_for_changes(table, after, wait_s)
         )
 
     def is_reader(self) -> bool:
         """Returns whether this node follows the store itself."""
-        return self.group is None or _has(
+        return self.group is None or _contains(
             self.group.readers().chosen, self.group.name
         )
 
     async def _ask_readers(
-        self, table: str, question: peer_rows.RowQuestion
+        self, table: str, request: peer_rows.RowRequest
     ) -> row_feeds.TableChange | None:
         if self.group is None or self.is_reader():
             return None
-        body = peer_rows.encode_question(question)
+        body = peer_rows.encode_request(request)
         for name in self._readers(self.group):
             answer = await self.group.members.ask(
-                name, table, body, question.wait_s + ANSWER_S
+                name, table, body, request.wait_s + ANSWER_MARGIN_S
             )
             change = _change_in(answer.ok) if answer.is_ok() else None
             if change is not None and change.age_s <= feed_readers.MAX_AGE_S:
@@ -106,20 +106,20 @@
             pause_s = feed_readers.AWAY_S
             if answer.is_error():
                 pause_s = feed_readers.SILENT_S
-            self.bad_until[name] = self.clock.monotonic() + pause_s
+            self.skipped_until[name] = self.clock.monotonic() + pause_s
         return None
 
-    def _readers(self, joined: relay_group.Group) -> list[str]:
+    def _readers(self, node_group: relay_group.Group) -> list[str]:
         """Returns the names of the readers to try, in order.
 
         Stand-ins are used only if no reader is left. A stand-in itself asks
         only readers or the store, never another stand-in.
         """
-        readers = joined.readers()
-        usable = self._usable(joined.name, readers.chosen)
-        if not usable and not _has(readers.stand_ins, joined.name):
-            usable = self._usable(joined.name, readers.stand_ins)
-        own = usable[:READERS_TRIED]
+        readers = node_group.readers()
+        usable = self._usable(node_group.name, readers.chosen)
+        if not usable and not _contains(readers.stand_ins, node_group.name):
+            usable = self._usable(node_group.name, readers.stand_ins)
+        own = usable[:MAX_READERS_TRIED]
         self.rng.shuffle(own)
         return own
 
@@ -130,10 +130,10 @@
         return [
             reader
             for reader in feed_readers.own_order(name, readers)
-            if self.bad_until.get(reader, 0.0) <= now
+            if self.skipped_until.get(reader, 0.0) <= now
         ]
 
-    def _must_wait(self) -> bool:
+    def _is_backing_off(self) -> bool:
         """Returns whether this node must not call the store yet.
 
         During an outage all nodes would call the store a few times a second.
@@ -141,18 +141,18 @@
         """
         if self.is_reader():
             return False
-        return self.clock.monotonic() < self.direct_at
+        return self.clock.monotonic() < self.next_store_call_at
 
-    def _noted(
+    def _update_backoff(
         self, result: expression.Result[T, stores.StoreError]
     ) -> expression.Result[T, stores.StoreError]:
         """Updates the backoff by whether the store answered."""
         if result.is_ok() or self.group is None:
-            self.direct_at = 0.0
+            self.next_store_call_at = 0.0
             return result
         pause_s = feed_readers.probe_pause_s(len(self.group.names()))
         pause_s *= self.rng.uniform(0.5, 1.5)
-        self.direct_at = self.clock.monotonic() + pause_s
+        self.next_store_call_at = self.clock.monotonic() + pause_s
         return result
 
 
@@ -163,7 +163,7 @@
     return SharedFeed(direct, clock, rng)
 
 
-def _has(nodes: tuple[feed_readers.GroupNode, ...], name: str) -> bool:
+def _contains(nodes: tuple[feed_readers.GroupNode, ...], name: str) -> bool:
     return any(node.name == name for node in nodes)
 
 
@@ -175,6 +175,8 @@
         return None
 
 
-def _away() -> expression.Result[row_feeds.TableChange, stores.StoreError]:
+def _unavailable() -> expression.Result[
+    row_feeds.TableChange, stores.StoreError
+]:
     detail = "Neither the store nor the nodes that read it answered."
     return expression.Error(errors.StoreUnavailable(detail))
--- a/src/almondshift/relay/silence_watch.py
+++ b/src/almondshift/relay/silence_watch.py
@@ -23,7 +23,7 @@
     from almondshift.model import registered_engines
     from almondshift.relay import context
 
-ASK_AGAIN_S = 0.1
+ENGINE_CHECK_INTERVAL_S = 0.1
 """Interval between checks of all engines' states, in seconds; longer than that
 of streams, since its cost grows with the fleet."""
 
@@ -34,10 +34,10 @@
 FIRST_SILENT_S = 0.5
 """The same before the first event, while the prompt is prefilled."""
 
-REPORT_GAP_S = 0.2
+QUERY_GAP_S = 0.2
 """Minimum interval between queries to one engine, in seconds."""
 
-LOST_REPORTS = 2
+MAX_UNANSWERED = 2
 """Unanswered queries in a row after which an engine counts as lost; a single
 one may be lost with its connection."""
 
@@ -50,8 +50,8 @@
         questions: Queries engines for reports.
         probe: Finds dead engines behind silent streams.
         ask_again_at: Loop time of the next check of all engines' states.
-        asked_at: Loop time of the last query of a first engine, by instance.
-        lost: Unanswered queries in a row, by instance.
+        queried_at: Loop time of the last query, by instance.
+        unanswered: Unanswered queries in a row, by instance.
     """
 
     def __init__(self, shared: context.RelayContext) -> None:
@@ -65,13 +65,13 @@
             shared, self.work, self.moves, self.questions
         )
         self.ask_again_at = 0.0
-        self.asked_at: dict[str, float] = {}
-        self.lost: dict[str, int] = {}
+        self.queried_at: dict[str, float] = {}
+        self.unanswered: dict[str, int] = {}
 
     async def start(self) -> None:
         """Starts to check streams and engines that peers report as dead."""
-        self.shared.lost.on_told = self.check_told
-        self.shared.lost.is_heard = self.moves.is_heard
+        self.shared.lost.on_peer_report = self.check_reported
+        self.shared.lost.is_streaming = self.moves.is_streaming
         self.work.repeat(
             stream_moves.LOOK_S,
             self.look_at_all,
@@ -84,27 +84,27 @@
 
     def forget(self, instance: str) -> None:
         """Drops an engine that is gone."""
-        self.asked_at.pop(instance, None)
-        self.lost.pop(instance, None)
+        self.queried_at.pop(instance, None)
+        self.unanswered.pop(instance, None)
         self.questions.forget(instance)
         self.probe.forget(instance)
 
     def look_at_all(self) -> None:
         """Checks streams and engines, and starts queries and moves."""
-        self.moves.note_look()
-        self.probe.look(asyncio.get_running_loop().time())
-        self.look()
-        self.moves.leave_in_time()
+        self.moves.note_check()
+        self.probe.start_due_round(asyncio.get_running_loop().time())
+        self.query_first_engines()
+        self.moves.move_off_leaving()
         now = asyncio.get_running_loop().time()
         if now >= self.ask_again_at:
-            self.ask_again_at = now + ASK_AGAIN_S
-            self.questions.ask_again()
+            self.ask_again_at = now + ENGINE_CHECK_INTERVAL_S
+            self.questions.query_due()
 
-    def check_told(
+    def check_reported(
         self, engine: registered_engines.RegisteredEngine, peer: str
     ) -> None:
         """Starts a check of an engine that a peer found dead."""
-        if len(self.work) < engine_questions.MAX_QUESTIONS:
+        if len(self.work) < engine_questions.MAX_QUERIES:
             self.work.run(self.check(engine, peer))
 
     async def check(
@@ -113,7 +113,7 @@
         """Checks an engine that a peer found dead, and logs the result."""
         part = relayed.PathPart(engine.instance, engine.address, 0, 0)
         probed = path_probe.ProbeRound(self.shared, self.questions, self.moves)
-        await probed.check(part, is_witnessed=True)
+        await probed.check(part, is_peer_report=True)
         self.shared.observer.emit(
             log_events.EndpointDoubted(
                 engine.instance,
@@ -123,7 +123,7 @@
             )
         )
 
-    def look(self) -> None:
+    def query_first_engines(self) -> None:
         """Queries the first engines of silent streams."""
         now = asyncio.get_running_loop().time()
         for run in self.moves.streams():
@@ -134,18 +134,18 @@
             if now - attempt.active_at < limit:
                 continue
             first = attempt.first
-            if now - self.asked_at.get(first.instance, -1.0) < REPORT_GAP_S:
+            if now - self.queried_at.get(first.instance, -1.0) < QUERY_GAP_S:
                 continue
-            self.asked_at[first.instance] = now
-            self.work.run(self.ask(first))
+            self.queried_at[first.instance] = now
+            self.work.run(self.query_first_engine(first))
 
-    async def ask(self, first: relayed.PathPart) -> None:
+    async def query_first_engine(self, first: relayed.PathPart) -> None:
         """Queries an engine; ejects the engines that its streams wait for."""
         report = await self.questions.report(first.instance, first.address)
         if report is None:
-            self.not_answered(first)
+            self.note_unanswered(first)
             return
-        self.lost.pop(first.instance, None)
+        self.unanswered.pop(first.instance, None)
         now = self.shared.clock.monotonic()
         self.shared.book.note_pace(first.instance, report.pace, now)
         addresses = {stalled.address for stalled in report.stalled}
@@ -156,14 +156,14 @@
                     engine.instance, engine_book.Suspicion.STALLED
                 )
         if not addresses:
-            self.questions.ask_paces(self.silent_parts(first))
+            self.questions.query_paces(self.silent_parts(first))
 
-    def not_answered(self, first: relayed.PathPart) -> None:
+    def note_unanswered(self, first: relayed.PathPart) -> None:
         """Counts an unanswered query; ejects the engine after several."""
-        count = self.lost.get(first.instance, 0) + 1
-        self.lost[first.instance] = count
-        if count >= LOST_REPORTS:
-            self.lost.pop(first.instance, None)
+        count = self.unanswered.get(first.instance, 0) + 1
+        self.unanswered[first.instance] = count
+        if count >= MAX_UNANSWERED:
+            self.unanswered.pop(first.instance, None)
             self.moves.engine_lost(
                 first.instance, engine_book.Suspicion.UNREACHABLE
             )
--- a/src/almondshift/relay/status.py
+++ b/src/almondshift/relay/status.py
@@ -26,7 +26,7 @@
         },
         "config": {
             "version": config.version if config else 0,
-            "verified": node.config_watch.away_since is None,
+            "verified": node.config_watch.outage_since is None,
             "age_s": round(node.config_watch.age_s(), 2),
         },
         "lease": {
--- a/src/almondshift/relay/stream_attempt.py
+++ b/src/almondshift/relay/stream_attempt.py
@@ -25,7 +25,7 @@
         used: The parts of the path as counted in the engine book.
         active_at: Loop time of the last received data, successful move or, at
             first, of the send.
-        stream: Whether the response is the requested stream.
+        is_stream: Whether the response is the requested stream.
         failure: Body of a response that is not a stream.
         moving: Whether a move is in progress.
     """
@@ -39,7 +39,7 @@
         self.sent_at = run.loop.time()
         self.active_at = self.sent_at
         self.head: relayed.ForwardedHead | None = None
-        self.stream = False
+        self.is_stream = False
         self.failure = bytearray()
         self.splitter = events.EventSplitter()
         self.forwarded: path_engines.ForwardedRequest | None = None
@@ -54,28 +54,28 @@
     def on_head(self, head: relayed.ForwardedHead) -> None:
         """Stores the head, which is sent with the first event."""
         self.head = head
-        self.stream = head.status == OK and head.genuine
+        self.is_stream = head.status == OK and head.genuine
         self.active_at = self.run.loop.time()
 
     def on_data(self, data: bytes) -> None:
         """Passes complete events on."""
         if self.over:
             return
-        if not self.stream:
+        if not self.is_stream:
             self.failure += data
             if len(self.failure) > MAX_FAILURE_BYTES:
-                self.stop("error response too large")
+                self.abort("error response too large")
             return
         self.active_at = self.run.loop.time()
         try:
-            whole = self.splitter.feed(data)
+            complete = self.splitter.feed(data)
         except ValueError as error:
-            self.stop(str(error))
+            self.abort(str(error))
             return
-        if whole and not self.run.take_events(self, whole):
-            self.stop("events out of order")
+        if complete and not self.run.forward_events(self, complete):
+            self.abort("events out of order")
 
-    def stop(self, reason: str) -> None:
+    def abort(self, reason: str) -> None:
         """Aborts an attempt whose response is invalid."""
         if self.over:
             return
--- a/src/almondshift/relay/stream_moves.py
+++ b/src/almondshift/relay/stream_moves.py
@@ -15,7 +15,7 @@
     from almondshift.relay import background
     from almondshift.relay import context
 
-ANSWERING_S = 2 * path_probe.ANSWER_S
+MAX_LIVE_EVENT_AGE_S = 2 * path_probe.ANSWER_S
 """Maximum age of a stream's last event that proves its engine alive, in
 seconds. An engine found dead by two unanswered queries is silent for longer."""
 
@@ -23,14 +23,14 @@
 """Interval between checks of all streams, in seconds; well below the shortest
 silence that triggers a probe."""
 
-LEAVE_EACH_S = 0.2
+LEAVE_INTERVAL_S = 0.2
 """Interval between moves of streams off leaving engines, in seconds."""
 
 LEAVE_MARGIN_S = 0.4
 """Time before a leaving engine may stop from which its streams also move to
 other zones, in seconds; covers the delay until its notice arrives."""
 
-LEAVE_FORGET_S = 1.0
+LEAVE_EXTRA_S = 1.0
 """Time for which such moves are still tried, in seconds."""
 
 
@@ -40,8 +40,8 @@
     Attributes:
         leaving: Loop time at which it became known that an engine leaves, by
             instance.
-        left_at: Loop time of the last moves off leaving engines.
-        looked_at: Loop time of the last check of all streams.
+        last_leave_at: Loop time of the last moves off leaving engines.
+        checked_at: Loop time of the last check of all streams.
         late_s: Delay of that check, in seconds.
     """
 
@@ -51,8 +51,8 @@
         self.shared = shared
         self.work = work
         self.leaving: dict[str, float] = {}
-        self.left_at = 0.0
-        self.looked_at = math.inf
+        self.last_leave_at = 0.0
+        self.checked_at = math.inf
         self.late_s = 0.0
 
     def streams(self) -> list[stream_run.StreamRun]:
@@ -77,43 +77,43 @@
             if attempt.first.instance == instance:
                 is_gone = reason is engine_book.Suspicion.GONE
                 run.resume_elsewhere("first engine lost", is_gone)
-        self.move_from(instance, must=True)
+        self.move_from(instance, is_forced=True)
 
-    def is_heard(self, instance: str) -> bool:
+    def is_streaming(self, instance: str) -> bool:
         """Returns whether streams currently receive events from an engine.
 
         Only streams whose first engine it is count: a crash closes their
         connections at once, so waiting for that costs nothing. Streams over
         slow engines have long gaps; silence counts once it would start a probe.
         """
-        now = asyncio.get_running_loop().time() - self.stalled_s()
-        heard = [
-            (now - attempt.active_at, path_probe.patience_s(run))
+        now = asyncio.get_running_loop().time() - self.unscheduled_s()
+        ages_and_limits = [
+            (now - attempt.active_at, path_probe.silence_limit_s(run))
             for run in self.streams()
             if (attempt := run.attempt) is not None
             and attempt.first.instance == instance
             and attempt.active_at > attempt.sent_at
         ]
-        if not heard:
+        if not ages_and_limits:
             return False
-        youngest_s = min(age_s for age_s, _ in heard)
-        return youngest_s < ANSWERING_S or all(
-            age_s < patience_s for age_s, patience_s in heard
+        youngest_s = min(age_s for age_s, _ in ages_and_limits)
+        return youngest_s < MAX_LIVE_EVENT_AGE_S or all(
+            age_s < limit_s for age_s, limit_s in ages_and_limits
         )
 
-    def note_look(self) -> None:
+    def note_check(self) -> None:
         """Records the time of a check of all streams, and its delay."""
         now = asyncio.get_running_loop().time()
-        self.late_s = max(0.0, now - self.looked_at - LOOK_S)
-        self.looked_at = now
+        self.late_s = max(0.0, now - self.checked_at - LOOK_S)
+        self.checked_at = now
 
-    def stalled_s(self) -> float:
+    def unscheduled_s(self) -> float:
         """Returns for how long this process was recently not scheduled.
 
         Events that arrived in the meantime have not been read yet.
         """
         now = asyncio.get_running_loop().time()
-        return max(self.late_s, now - self.looked_at - LOOK_S)
+        return max(self.late_s, now - self.checked_at - LOOK_S)
 
     def engine_slow(self, instance: str, pace: float) -> None:
         """Moves streams off an engine that has just become slow.
@@ -127,14 +127,14 @@
                 instance, f"slow by {pace:.1f}", engine_book.PACE_MEMORY_S
             )
         )
-        self.move_from(instance, must=False)
+        self.move_from(instance, is_forced=False)
 
     def engine_leaving(self, instance: str) -> None:
         """Starts to move streams off a leaving engine."""
         self.leaving[instance] = asyncio.get_running_loop().time()
-        self.move_from(instance, must=False)
+        self.move_from(instance, is_forced=False)
 
-    def leave_in_time(self) -> None:
+    def move_off_leaving(self) -> None:
         """Moves streams off leaving engines once their zone has replacements.
 
         Other engines of the zone load the layers while the leaving engine still
@@ -142,16 +142,16 @@
         the notice period is nearly over.
         """
         now = asyncio.get_running_loop().time()
-        if now - self.left_at < LEAVE_EACH_S:
+        if now - self.last_leave_at < LEAVE_INTERVAL_S:
             return
-        self.left_at = now
+        self.last_leave_at = now
         due_s = max(0.0, self.shared.engine_notice_s - LEAVE_MARGIN_S)
         for instance, since in list(self.leaving.items()):
-            self.move_from(instance, must=now - since > due_s)
-            if now - since > due_s + LEAVE_FORGET_S:
+            self.move_from(instance, is_forced=now - since > due_s)
+            if now - since > due_s + LEAVE_EXTRA_S:
                 del self.leaving[instance]
 
-    def move_from(self, instance: str, must: bool) -> None:
+    def move_from(self, instance: str, is_forced: bool) -> None:
         """Moves streams off an engine of their path.
 
         Streams whose first engine it is stay: it holds their connection, and
@@ -159,11 +159,11 @@
 
         Args:
             instance: The engine.
-            must: Whether the streams would be cut otherwise.
+            is_forced: Whether the streams would be cut otherwise.
         """
         for run in self.streams():
             attempt = run.attempt
             if attempt is None or attempt.first.instance == instance:
                 continue
             if any(part.instance == instance for part in attempt.path):
-                self.work.run(run.move(instance, must))
+                self.work.run(run.move(instance, is_forced))
--- a/src/almondshift/relay/stream_run.py
+++ b/src/almondshift/relay/stream_run.py
@@ -25,11 +25,11 @@
 RESUME_RETRY_S = 0.15
 """Interval between searches for a path for a broken stream, in seconds."""
 
-UNHEARD_SHARE = 0.75
+NO_EVENT_SHARE = 0.75
 """Share of the callers' patience after which a stream without a first event
 counts against its first engine; earlier disconnects have other reasons."""
 
-MOVE_TRIES = 4
+MAX_MOVE_ORDERS = 4
 """Maximum orders per move. Each refusal identifies another engine that is dead
 or full, and several engines of a rack may die at once."""
 
@@ -44,14 +44,12 @@
 
     Attributes:
         attempt: The current attempt; None between attempts.
-        retry: Timer of the next search for a path.
-        overdue: Timer of the first event.
         events_sent: Number of events sent to the caller.
         first_at: Loop time of the first event, or of the arrival.
         progress_at: Loop time of the last event, or of the arrival.
-        broken: First engines that failed the stream. They are avoided, since a
-            crashing engine resets every connection and would use up all
-            attempts.
+        failed_engines: First engines that failed the stream. They are avoided,
+            since a crashing engine resets every connection and would use up
+            all attempts.
         last_id: ID of the last event that the caller has; None for none.
         answer_tokens: Expected length of the response, in tokens.
         tokens: Expected length of prompt and response, in tokens.
@@ -66,12 +64,12 @@
         super().__init__(routed, responder, shared)
         request = self.routed.request
         self.attempt: stream_attempt.StreamAttempt | None = None
-        self.retry: asyncio.TimerHandle | None = None
-        self.overdue: asyncio.TimerHandle | None = None
+        self.retry_timer: asyncio.TimerHandle | None = None
+        self.first_event_timer: asyncio.TimerHandle | None = None
         self.events_sent = 0
         self.first_at = self.started_at
         self.progress_at = self.started_at
-        self.broken: frozenset[str] = frozenset()
+        self.failed_engines: frozenset[str] = frozenset()
         self.last_id: int | None = None
         if request.last_event_id.isdigit():
             self.last_id = int(request.last_event_id)
@@ -83,9 +81,9 @@
 
     def dispatch(self) -> None:
         """Sends the request over a path with capacity, or refuses it."""
-        chosen = self.choose_path(self.broken)
+        chosen = self.choose_path(self.failed_engines)
         if chosen is None:
-            self.lack_path()
+            self.handle_no_path()
             return
         self.send(chosen)
 
@@ -99,22 +97,24 @@
         now = self.shared.clock.monotonic()
         return self.shared.paths.choose(view, self.tokens, now, avoid)
 
-    def lack_path(self) -> None:
+    def handle_no_path(self) -> None:
         """Refuses a new request; retries later if the stream has begun."""
         if not self.responder.head_sent:
-            self.refuse_full("No path with free capacity covers all layers.")
+            self.refuse_no_capacity(
+                "No path with free capacity covers all layers."
+            )
             return
-        self.look_later(self.begin)
+        self.search_later(self.begin)
 
-    def look_later(self, look: Callable[[], None]) -> None:
+    def search_later(self, search: Callable[[], None]) -> None:
         """Schedules another search for a path while the caller still waits."""
         waited_s = self.loop.time() - self.progress_at
         if waited_s + RESUME_RETRY_S >= self.routed.route.patience_s:
             self.refuse(errors.UpstreamFailed("No path can resume the stream."))
             return
-        self.retry = self.loop.call_later(RESUME_RETRY_S, look)
+        self.retry_timer = self.loop.call_later(RESUME_RETRY_S, search)
 
-    def look_again(self) -> None:
+    def resume_within_budget(self) -> None:
         """Resumes the stream once the retry budget allows it."""
         if self.ended:
             return
@@ -123,9 +123,9 @@
         ):
             self.begin()
         else:
-            self.look_later(self.look_again)
+            self.search_later(self.resume_within_budget)
 
-    def may_wait(self, is_not_run: bool) -> bool:
+    def may_wait_for_capacity(self, is_not_run: bool) -> bool:
         """Returns whether a stream that has begun may wait for capacity.
 
         Full engines refuse within milliseconds and run nothing, and on a node
@@ -138,7 +138,7 @@
         return (
             self.responder.head_sent
             and route.may_repeat
-            and (is_not_run or self.ran_on < route.max_attempts)
+            and (is_not_run or self.possible_runs < route.max_attempts)
             and not self.shared.crashes.is_refused(self.routed)
         )
 
@@ -149,11 +149,11 @@
         self.attempt = attempt
         self.shared.book.add(attempt.used, self.tokens)
         self.note_forwarded(
-            shown(chosen.path),
+            format_path(chosen.path),
             ",".join(part.instance for part in chosen.path),
             round(chosen.load, 3),
         )
-        self.unrefused += 1
+        self.unrefused_sends += 1
         attempt.forwarded = self.shared.engines.forward(
             self.routed.request,
             relayed.Forwarding(
@@ -167,18 +167,20 @@
             ),
             attempt,
         )
-        self.watch_first_event()
+        self.start_first_event_timer()
 
-    def watch_first_event(self) -> None:
+    def start_first_event_timer(self) -> None:
         """Starts a timer to run the request elsewhere without a first event."""
         route = self.routed.route
         if not self.responder.head_sent and route.may_repeat:
             wait_s = self.shared.first_waits.overdue_s(
                 self.routed.service, route.objective_s
             )
-            self.overdue = self.loop.call_later(wait_s, self.leave_silent)
+            self.first_event_timer = self.loop.call_later(
+                wait_s, self.leave_silent_engine
+            )
 
-    def leave_silent(self) -> None:
+    def leave_silent_engine(self) -> None:
         """Resumes elsewhere if the first engine is alive but sends nothing.
 
         A stream that cannot run elsewhere stays, as it may only be queued.
@@ -190,30 +192,32 @@
             return
         if not self.could_run_elsewhere():
             return
-        avoid = self.broken | {attempt.first.instance}
+        avoid = self.failed_engines | {attempt.first.instance}
         if self.choose_path(avoid) is None:
             return
-        self.note_first_wait(attempt)
-        self.note_unheard(attempt)
-        self.broken = avoid
+        self.note_first_event_wait(attempt)
+        self.note_no_event(attempt)
+        self.failed_engines = avoid
         self.resume_elsewhere("no first event")
 
-    def note_first_wait(self, attempt: stream_attempt.StreamAttempt) -> None:
+    def note_first_event_wait(
+        self, attempt: stream_attempt.StreamAttempt
+    ) -> None:
         """Records the time to the first event, or until it was given up."""
         seconds = self.loop.time() - attempt.sent_at
         self.shared.first_waits.note(self.routed.service, seconds)
 
-    def take_events(
+    def forward_events(
         self,
         attempt: stream_attempt.StreamAttempt,
-        whole: list[events.StreamEvent],
+        received: list[events.StreamEvent],
     ) -> bool:
         """Passes new events on; returns False if there is a gap before them.
 
         Events that the caller already has are dropped.
         """
         fresh: list[bytes] = []
-        for event in whole:
+        for event in received:
             if event.event_id is not None:
                 if self.last_id is not None:
                     if event.event_id <= self.last_id:
@@ -228,7 +232,7 @@
         if not self.responder.head_sent:
             assert attempt.head is not None
             self.first_at = now
-            self.note_first_wait(attempt)
+            self.note_first_event_wait(attempt)
             self.shared.observer.first_seconds.observe(now - self.started_at)
             self.responder.send_head(attempt.head.status, attempt.head.headers)
         elif now - self.progress_at > self.routed.route.event_gap_s:
@@ -247,19 +251,19 @@
         """Finishes the stream, or continues it elsewhere."""
         if attempt is not self.attempt or self.ended:
             return
-        self.release()
-        whole = ending is path_engines.Ending.WHOLE
-        if whole and attempt.stream and not attempt.splitter.rest:
+        self.release_attempt()
+        is_complete = ending is path_engines.Ending.WHOLE
+        if is_complete and attempt.is_stream and not attempt.splitter.partial:
             self.finish(attempt)
             return
         head = attempt.head
-        if whole and head is not None and not attempt.stream:
-            self.take_failure(attempt, head)
+        if is_complete and head is not None and not attempt.is_stream:
+            self.handle_failure(attempt, head)
             return
-        if whole:
+        if is_complete:
             reason = "the stream ended in the middle of an event"
         is_not_run = ending is path_engines.Ending.NOT_SENT
-        self.broken |= {attempt.first.instance}
+        self.failed_engines |= {attempt.first.instance}
         if ending is path_engines.Ending.BROKEN:
             self.shared.crashes.note_broken(
                 self.routed, self.sends, attempt.first.instance
@@ -268,7 +272,7 @@
             self.shared.lost.suspect(
                 attempt.first.instance, engine_book.Suspicion.UNREACHABLE
             )
-        self.go_on(attempt, reason, is_not_run)
+        self.retry_or_end(attempt, reason, is_not_run)
 
     def finish(self, attempt: stream_attempt.StreamAttempt) -> None:
         """Ends a complete stream."""
@@ -281,19 +285,21 @@
         self.responder.finish()
         self.answered()
 
-    def take_failure(
+    def handle_failure(
         self, attempt: stream_attempt.StreamAttempt, head: relayed.ForwardedHead
     ) -> None:
         """Retries after a refusal; passes another error response on."""
         if head.not_run:
-            self.blame(attempt, head)
+            self.avoid_refusing_engine(attempt, head)
             reason = f"refused with {head.status}"
             if head.faulty_address:
                 reason += f" for {head.faulty_address}"
-            self.go_on(attempt, reason, is_not_run=True)
+            self.retry_or_end(attempt, reason, is_not_run=True)
             return
         if self.responder.head_sent or not head.genuine:
-            self.go_on(attempt, f"status {head.status}", is_not_run=False)
+            self.retry_or_end(
+                attempt, f"status {head.status}", is_not_run=False
+            )
             return
         self.shared.observer.attempts.labels("failed").inc()
         self.responder.send_whole(
@@ -301,7 +307,7 @@
         )
         self.answered()
 
-    def blame(
+    def avoid_refusing_engine(
         self, attempt: stream_attempt.StreamAttempt, head: relayed.ForwardedHead
     ) -> None:
         """Avoids the engine that a refusal names, by default the first one."""
@@ -327,7 +333,7 @@
         self.shared.paths.tight[instance] = address
         self.shared.refusing.check(instance)
 
-    def go_on(
+    def retry_or_end(
         self,
         attempt: stream_attempt.StreamAttempt,
         reason: str,
@@ -340,11 +346,11 @@
         ran, and would not retry.
         """
         if is_not_run:
-            self.unrefused -= 1
+            self.unrefused_sends -= 1
         elif not self.shared.book.is_lost(attempt.first.instance):
-            self.ran_on += 1
+            self.possible_runs += 1
         allowed = self.may_repeat(is_not_run)
-        waits = not allowed and self.may_wait(is_not_run)
+        waits = not allowed and self.may_wait_for_capacity(is_not_run)
         next_step = runs.GIVEN_UP
         if allowed:
             next_step = runs.SENT_ELSEWHERE
@@ -354,9 +360,9 @@
         if allowed:
             self.begin()
         elif waits:
-            self.look_later(self.look_again)
+            self.search_later(self.resume_within_budget)
         else:
-            self.refuse_full(reason)
+            self.refuse_no_capacity(reason)
 
     def resume_elsewhere(self, reason: str, is_gone: bool = False) -> None:
         """Leaves the current path, whose first engine is lost.
@@ -374,15 +380,15 @@
         attempt = self.attempt
         if attempt is None or self.ended or attempt.over:
             return
-        if not is_gone and not self.has_repeats():
+        if not is_gone and not self.may_run_again():
             return
         attempt.over = True
         if attempt.forwarded is not None:
             attempt.forwarded.cancel()
-        self.release()
-        self.go_on(attempt, reason, is_not_run=False)
+        self.release_attempt()
+        self.retry_or_end(attempt, reason, is_not_run=False)
 
-    def has_repeats(self) -> bool:
+    def may_run_again(self) -> bool:
         """Returns whether the stream may run again after a lost engine.
 
         Spends no retry budget, and does not count the lost engine as one that
@@ -392,31 +398,34 @@
         return (
             route.may_repeat
             and self.sends < runs.MAX_SENDS
-            and self.ran_on < route.max_attempts
+            and self.possible_runs < route.max_attempts
             and self.shared.budget.has_room(
                 self.routed.service, self.shared.clock.monotonic()
             )
         )
 
-    async def move(self, away_from: str, must: bool) -> None:
+    async def move(self, away_from: str, is_forced: bool) -> None:
         """Moves the running request off an engine.
 
         Args:
             away_from: The engine that is lost, leaving or slow.
-            must: Whether the stream would be cut otherwise; if not, it moves
-                only within its availability zone.
+            is_forced: Whether the stream would be cut otherwise; if not, it
+                moves only within its availability zone.
         """
         attempt = self.attempt
         if attempt is None or attempt.moving or attempt.over or self.ended:
             return
         attempt.moving = True
         try:
-            await self.move_attempt(attempt, away_from, must)
+            await self.move_attempt(attempt, away_from, is_forced)
         finally:
             attempt.moving = False
 
     async def move_attempt(
-        self, attempt: stream_attempt.StreamAttempt, away_from: str, must: bool
+        self,
+        attempt: stream_attempt.StreamAttempt,
+        away_from: str,
+        is_forced: bool,
     ) -> None:
         """Orders the first engine to use another path.
 
@@ -430,15 +439,15 @@
         if view is None:
             return
         avoid: frozenset[str] = frozenset()
-        for _ in range(MOVE_TRIES):
+        for _ in range(MAX_MOVE_ORDERS):
             now = self.shared.clock.monotonic()
             chosen = self.shared.paths.move(
                 view, attempt.path, self.tokens, now, avoid
             )
             if chosen is None or chosen.crossings:
-                if not must:
+                if not is_forced:
                     return
-                if self.has_whole_path(away_from):
+                if self.has_single_zone_path(away_from):
                     self.note_move(attempt, away_from, "resumed elsewhere")
                     self.resume_elsewhere("its path lost an engine")
                     return
@@ -478,7 +487,7 @@
             attempt,
             away_from,
             answer.outcome.value,
-            shown(chosen.path),
+            format_path(chosen.path),
             refused_by,
         )
         if attempt.over or attempt is not self.attempt:
@@ -495,11 +504,11 @@
             self.note_refused(refused_by, answer.faulty_address)
         return refused_by
 
-    def has_whole_path(self, away_from: str) -> bool:
+    def has_single_zone_path(self, away_from: str) -> bool:
         """Returns whether a path within a single zone could run the request."""
         if not self.could_run_elsewhere():
             return False
-        found = self.choose_path(self.broken)
+        found = self.choose_path(self.failed_engines)
         return (
             found is not None
             and not found.crossings
@@ -533,36 +542,36 @@
         If no event has arrived, the wait may count against the first engine.
         """
         if self.attempt is not None and not self.responder.head_sent:
-            self.note_unheard(self.attempt)
+            self.note_no_event(self.attempt)
         super().caller_gone()
 
-    def note_unheard(self, attempt: stream_attempt.StreamAttempt) -> None:
+    def note_no_event(self, attempt: stream_attempt.StreamAttempt) -> None:
         """Records a first engine that sent nothing for nearly too long."""
         waited_s = self.loop.time() - attempt.sent_at
-        if waited_s >= UNHEARD_SHARE * self.routed.route.patience_s:
+        if waited_s >= NO_EVENT_SHARE * self.routed.route.patience_s:
             now = self.shared.clock.monotonic()
             self.shared.book.note_unheard(attempt.first.instance, now)
 
-    def release(self) -> None:
+    def release_attempt(self) -> None:
         """Drops the current attempt and its load in the engine book."""
         attempt = self.attempt
         self.attempt = None
-        if self.overdue is not None:
-            self.overdue.cancel()
+        if self.first_event_timer is not None:
+            self.first_event_timer.cancel()
         if attempt is not None:
             self.shared.book.remove(attempt.used, self.tokens)
 
     def cancel_work(self) -> None:
         """Cancels the work of engines."""
-        if self.retry is not None:
-            self.retry.cancel()
+        if self.retry_timer is not None:
+            self.retry_timer.cancel()
         attempt = self.attempt
         if attempt is None:
             return
         attempt.over = True
         if attempt.forwarded is not None:
             attempt.forwarded.cancel()
-        self.release()
+        self.release_attempt()
 
     def length(self) -> float:
         """Returns the expected tokens of the response."""
@@ -573,6 +582,6 @@
         return self.events_sent
 
 
-def shown(path: relayed.Path) -> str:
+def format_path(path: relayed.Path) -> str:
     """Formats a path for the log."""
     return ",".join(f"{p.address}={p.start}-{p.end}" for p in path)
--- a/src/almondshift/relay/table_watch.py
+++ b/src/almondshift/relay/table_watch.py
@@ -36,7 +36,7 @@
 CONFIRM_AGE_S = 0.5
 """Maximum age of a copy that is given to peers as fresh, in seconds."""
 
-TOMBSTONES_KEPT = 512
+MAX_TOMBSTONES = 512
 """Maximum number of tombstones kept for peers; covers a few hours of engine
 replacements."""
 
@@ -51,18 +51,18 @@
         revision: Newest revision that the copy covers; None before the first
             read.
         confirmed_at: Monotonic time at which the store last confirmed the copy.
-        back_at: Monotonic time of the end of the last store outage.
+        outage_ended_at: Monotonic time of the end of the last store outage.
         complete_since: The copy has all changes after this revision, removals
             included. A peer with an older copy needs all rows.
-        newest_row: Revision of the newest change in the copy.
+        newest_row_revision: Revision of the newest change in the copy.
         wait_s: Long-poll time of requests for changes.
         changed: Set at each change, and then replaced by a new event.
-        confirming: The confirmation in progress, shared by concurrent callers.
-        away_since: Monotonic time at which the present store outage began; None
-            without an outage.
+        confirmation: The last confirmation, shared by concurrent callers.
+        outage_since: Monotonic time at which the current store outage began;
+            None without an outage.
         on_rows: Called with changed rows, and whether they came from the store
             itself.
-        on_whole: Called with all rows of a full read.
+        on_full_read: Called with all rows of a full read.
         ask_peers: Requests newer rows from peers; None without peers.
         pause_s: Pause after changes, so that one answer carries several.
     """
@@ -81,17 +81,17 @@
         self.rows: dict[str, row_feeds.FeedRow] = {}
         self.revision: int | None = None
         self.confirmed_at = -1e9
-        self.back_at = -1e9
+        self.outage_ended_at = -1e9
         self.complete_since = 0
-        self.newest_row = 0
+        self.newest_row_revision = 0
         self.wait_s = WAIT_S
         self.changed = asyncio.Event()
-        self.confirming: asyncio.Task[bool] | None = None
-        self.away_since: float | None = None
+        self.confirmation: asyncio.Task[bool] | None = None
+        self.outage_since: float | None = None
         self.on_rows: Callable[[list[row_feeds.FeedRow], bool], None] = (
             lambda rows, verified: None
         )
-        self.on_whole: Callable[[tuple[row_feeds.FeedRow, ...]], None] = (
+        self.on_full_read: Callable[[tuple[row_feeds.FeedRow, ...]], None] = (
             lambda rows: None
         )
         self.ask_peers: Callable[[str, bytes], Awaitable[list[bytes]]] | None
@@ -112,7 +112,7 @@
 
     def age_s(self) -> float:
         """Returns how long ago the copy was last known to be current."""
-        if self.away_since is None and self.revision is not None:
+        if self.outage_since is None and self.revision is not None:
             # A long poll is pending; it would have returned any change.
             return min(self.clock.monotonic() - self.confirmed_at, WAIT_S + 1)
         return self.clock.monotonic() - self.confirmed_at
@@ -121,13 +121,13 @@
         """Returns whether the copy is current; asks the store if necessary."""
         if self.clock.monotonic() - self.confirmed_at <= max_age_s:
             return True
-        if self.revision is None or self.away_since is not None:
+        if self.revision is None or self.outage_since is not None:
             return False
-        if self.confirming is None or self.confirming.done():
+        if self.confirmation is None or self.confirmation.done():
             # Concurrent denials, here or at peers, share one request.
             loop = asyncio.get_running_loop()
-            self.confirming = loop.create_task(self._confirm(max_age_s))
-        return await asyncio.shield(self.confirming)
+            self.confirmation = loop.create_task(self._confirm(max_age_s))
+        return await asyncio.shield(self.confirmation)
 
     async def _confirm(self, max_age_s: float) -> bool:
         assert self.revision is not None
@@ -135,29 +135,36 @@
         answer = await self.feed.wait_for_changes(self.table, self.revision, 0)
         if answer.is_error() or answer.ok is None:
             return False
-        self._take(answer.ok)
+        self._apply(answer.ok)
         confirmed_at = sent_at - answer.ok.age_s
         self.confirmed_at = max(self.confirmed_at, confirmed_at)
         return answer.ok.age_s <= max_age_s
 
     async def answer_peer(self, body: bytes) -> bytes:
         """Handles a peer's request; waits until there are newer rows."""
-        question = peer_rows.decode_question(body)
-        if self.revision is None or self.away_since is not None:
-            return self.rows_after(question.after, question.takes_unchanged)
-        if question.is_fresh:
+        request = peer_rows.decode_request(body)
+        if self.revision is None or self.outage_since is not None:
+            return self.encode_rows_after(
+                request.after, request.takes_unchanged
+            )
+        if request.is_fresh:
             await self.confirm(CONFIRM_AGE_S)
-        until = self.clock.monotonic() + min(question.wait_s, WAIT_S)
-        while self.newest_row <= question.after and self.away_since is None:
+        until = self.clock.monotonic() + min(request.wait_s, WAIT_S)
+        while (
+            self.newest_row_revision <= request.after
+            and self.outage_since is None
+        ):
             left_s = until - self.clock.monotonic()
             if left_s <= 0:
                 break
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(left_s):
                     await self.changed.wait()
-        return self.rows_after(question.after, question.takes_unchanged)
+        return self.encode_rows_after(request.after, request.takes_unchanged)
 
-    def rows_after(self, revision: int, takes_unchanged: bool = False) -> bytes:
+    def encode_rows_after(
+        self, revision: int, takes_unchanged: bool = False
+    ) -> bytes:
         """Returns the encoded rows that changed after a revision, for a peer.
 
         All rows, if changes after that revision may be missing here; otherwise
@@ -175,13 +182,15 @@
             unchanged = frozenset(r.key for r in rows if r.revision <= revision)
         if takes_unchanged or not is_whole:
             rows = [row for row in rows if row.revision > revision]
-        is_away = self.revision is None or self.away_since is not None
+        is_outage = self.revision is None or self.outage_since is not None
         age_s = self.clock.monotonic() - self.confirmed_at
         change = row_feeds.TableChange(
             rows=tuple(rows),
             revision=self.revision or 0,
             is_whole=is_whole,
-            age_s=peer_rows.NEVER_S if is_away else max(0.0, age_s),
+            age_s=peer_rows.NEVER_CONFIRMED_AGE_S
+            if is_outage
+            else max(0.0, age_s),
             unchanged=unchanged,
         )
         return peer_rows.encode_answer(change)
@@ -191,22 +200,22 @@
             pause_s = self.rng.uniform(RETRY_MIN_S, RETRY_MAX_S)
             try:
                 if await self._step():
-                    self._note_back()
+                    self._note_recovery()
                     pause_s = self.pause_s
                 else:
-                    self._note_away()
-                    await self._learn_from_peers()
+                    self._note_outage()
+                    await self._read_from_peers()
             except Exception:
                 # An error in a callback must not end the watch: the node would
                 # act on outdated rows until it restarts. The next step reads
                 # the whole table, since only some rows may have been applied.
                 logger.exception("failed to apply rows of %s", self.table)
-                self._note_away()
+                self._note_outage()
             await asyncio.sleep(pause_s)
 
     async def _step(self) -> bool:
         sent_at = self.clock.monotonic()
-        if self.revision is None or self.away_since is not None:
+        if self.revision is None or self.outage_since is not None:
             return await self._read_whole(sent_at)
         answer = await self.feed.wait_for_changes(
             self.table, self.revision, self.wait_s
@@ -216,7 +225,7 @@
         if answer.ok is None:
             return await self._read_whole(sent_at)
         self.confirmed_at = self.clock.monotonic() - answer.ok.age_s
-        self._take(answer.ok)
+        self._apply(answer.ok)
         return True
 
     async def _read_whole(self, sent_at: float) -> bool:
@@ -225,25 +234,25 @@
         if answer.is_error():
             return False
         self.confirmed_at = sent_at - answer.ok.age_s
-        self._note_back()
-        self._take_whole(answer.ok)
+        self._note_recovery()
+        self._apply_whole(answer.ok)
         return True
 
-    def _take(self, change: row_feeds.TableChange) -> None:
+    def _apply(self, change: row_feeds.TableChange) -> None:
         if change.is_whole and change.unchanged:
-            self._take_completed(change)
+            self._apply_with_unchanged(change)
         elif change.is_whole:
-            self._take_whole(change)
+            self._apply_whole(change)
         else:
-            self._take_changes(change)
+            self._apply_changes(change)
 
-    def _take_completed(self, change: row_feeds.TableChange) -> None:
+    def _apply_with_unchanged(self, change: row_feeds.TableChange) -> None:
         """Applies changes that come with the keys of all unchanged rows."""
-        rows = (*self._removed_in(change), *change.rows)
-        self._take_changes(dataclasses.replace(change, rows=rows))
+        rows = (*self._removals_in(change), *change.rows)
+        self._apply_changes(dataclasses.replace(change, rows=rows))
         self.complete_since = max(self.complete_since, change.revision)
 
-    def _removed_in(
+    def _removals_in(
         self, change: row_feeds.TableChange
     ) -> list[row_feeds.FeedRow]:
         """Returns tombstones of known rows that are missing in a full read."""
@@ -254,25 +263,25 @@
             if key not in present and row.value is not None
         ]
 
-    def _take_whole(self, change: row_feeds.TableChange) -> None:
+    def _apply_whole(self, change: row_feeds.TableChange) -> None:
         """Applies a full read; rows that are missing in it were removed."""
         if self.revision is not None and change.revision < self.revision:
             return
-        for row in (*self._removed_in(change), *change.rows):
+        for row in (*self._removals_in(change), *change.rows):
             self.rows[row.key] = row
         self.revision = change.revision
         self.complete_since = change.revision
         self._note_changed(change.revision)
-        self.on_whole(change.rows)
+        self.on_full_read(change.rows)
 
     def _note_changed(self, revision: int) -> None:
         """Wakes peers' requests that wait for a change."""
-        self.newest_row = max(self.newest_row, revision)
+        self.newest_row_revision = max(self.newest_row_revision, revision)
         self.changed.set()
         self.changed = asyncio.Event()
 
-    def _take_changes(self, change: row_feeds.TableChange) -> None:
-        fresh = [row for row in change.rows if self._is_news(row)]
+    def _apply_changes(self, change: row_feeds.TableChange) -> None:
+        fresh = [row for row in change.rows if self._is_newer(row)]
         for row in fresh:
             self.rows[row.key] = row
         self.revision = max(self.revision or 0, change.revision)
@@ -281,24 +290,24 @@
             self._note_changed(max(row.revision for row in fresh))
             self.on_rows(fresh, True)
 
-    def _is_news(self, row: row_feeds.FeedRow) -> bool:
+    def _is_newer(self, row: row_feeds.FeedRow) -> bool:
         known = self.rows.get(row.key)
         return known is None or known.revision < row.revision
 
     def _drop_tombstones(self) -> None:
         removed = [r for r in self.rows.values() if r.value is None]
-        if len(removed) <= TOMBSTONES_KEPT:
+        if len(removed) <= MAX_TOMBSTONES:
             return
         removed.sort(key=lambda row: row.revision)
-        for row in removed[: len(removed) - TOMBSTONES_KEPT]:
+        for row in removed[: len(removed) - MAX_TOMBSTONES]:
             del self.rows[row.key]
             self.complete_since = max(self.complete_since, row.revision)
 
-    async def _learn_from_peers(self) -> None:
+    async def _read_from_peers(self) -> None:
         if self.ask_peers is None:
             return
-        question = peer_rows.RowQuestion(self.revision or 0)
-        body = peer_rows.encode_question(question)
+        request = peer_rows.RowRequest(self.revision or 0)
+        body = peer_rows.encode_request(request)
         for answer in await self.ask_peers(self.table, body):
             try:
                 rows = peer_rows.decode_answer(answer).rows
@@ -308,12 +317,12 @@
                     log_events.PeerRowsUnreadable(self.table, str(error)),
                 )
                 continue
-            self._take_peer_rows(rows)
+            self._apply_peer_rows(rows)
 
-    def _take_peer_rows(self, rows: tuple[row_feeds.FeedRow, ...]) -> None:
+    def _apply_peer_rows(self, rows: tuple[row_feeds.FeedRow, ...]) -> None:
         fresh = []
         for row in rows:
-            if self._is_news(row):
+            if self._is_newer(row):
                 self.rows[row.key] = row
                 fresh.append(row)
         # The copy's revision stays: only answers of the store prove that no
@@ -322,10 +331,10 @@
         if fresh:
             self.on_rows(fresh, False)
 
-    def _note_away(self) -> None:
-        if self.away_since is not None:
+    def _note_outage(self) -> None:
+        if self.outage_since is not None:
             return
-        self.away_since = self.clock.monotonic()
+        self.outage_since = self.clock.monotonic()
         self._note_changed(0)
         log_events.emit(
             logger,
@@ -334,13 +343,13 @@
             ),
         )
 
-    def _note_back(self) -> None:
-        if self.away_since is None:
+    def _note_recovery(self) -> None:
+        if self.outage_since is None:
             return
         now = self.clock.monotonic()
-        seconds = now - self.away_since
-        self.away_since = None
-        self.back_at = now
+        seconds = now - self.outage_since
+        self.outage_since = None
+        self.outage_ended_at = now
         log_events.emit(logger, log_events.StoreOutageEnded(round(seconds, 3)))
 
 
--- a/tests/relay/test_catalogue.py
+++ b/tests/relay/test_catalogue.py
@@ -78,7 +78,7 @@
 def test_an_entry_that_comes_back_in_time_stays() -> None:
     known = _catalogue()
     known.take_engine_row(_row("i", _engine()), 0.0, AWAY)
-    known.take_whole_registry((), 10.0, 9.9)
+    known.apply_whole_registry((), 10.0, 9.9)
     known.take_engine_row(_row("i", _engine(), 3), 10.5, 9.9)
     known.expire_removals(20.0)
     assert "i" in known.engines
--- a/tests/relay/test_events.py
+++ b/tests/relay/test_events.py
@@ -18,13 +18,13 @@
         found += splitter.feed(STREAM[start:end])
     assert b"".join(event.data for event in found) == STREAM
     assert [event.event_id for event in found] == [1, 2, 3, 4, 5]
-    assert splitter.rest == b""
+    assert splitter.partial == b""
 
 
 def test_half_an_event_is_kept_back() -> None:
     splitter = events.EventSplitter()
     assert splitter.feed(b"id: 1\ndata: a") == []
-    assert splitter.rest
+    assert splitter.partial
 
 
 @pytest.mark.parametrize(
--- a/tests/relay/test_group.py
+++ b/tests/relay/test_group.py
@@ -103,10 +103,13 @@
     of few others goes on naming all that it does not suspect.
     """
     members: Any = FakeMembers(heard)
-    found = group.Group(members).named()
+    found = group.Group(members).advertised()
     assert len(found) == named
     if named < len(heard):
-        assert max(peer.heard_s for peer in found) <= group.NAMED_S
+        assert (
+            max(peer.heard_s for peer in found)
+            <= group.MAX_ADVERTISED_SILENCE_S
+        )
 
 
 @pytest.mark.parametrize(
--- a/tests/relay/test_lifetimes.py
+++ b/tests/relay/test_lifetimes.py
@@ -123,7 +123,7 @@
     known = _catalogue()
     known.take_engine_row(_row("i", _born(5)), 0.0, AWAY)
     known.take_engine_row(_row("i", _born(9), 2), 0.0, AWAY)
-    known.take_whole_registry((), 1.0, AWAY)
+    known.apply_whole_registry((), 1.0, AWAY)
     assert _instances(known) == []
 
 
@@ -249,7 +249,7 @@
     known.take_engine_row(_row("i", GOOD), 0.0, AWAY)
     rows = (_row("i", entry, 3), _row("other", GOOD, 4))
     if whole:
-        known.take_whole_registry(rows, 0.0, AWAY)
+        known.apply_whole_registry(rows, 0.0, AWAY)
     else:
         for row in rows:
             known.take_engine_row(row, 0.0, AWAY)
@@ -292,7 +292,7 @@
         row_feeds.FeedRow(f"x{index}", content, index + 2)
         for index, content in enumerate(contents)
     ]
-    known.take_whole_registry(tuple(rows), 0.0, AWAY)
+    known.apply_whole_registry(tuple(rows), 0.0, AWAY)
     assert f"good@{GOOD['born']}" in known.engines
     for engine in known.engines.values():
         host, _, port = engine.address.rpartition(":")
--- a/tests/relay/test_lost_engines.py
+++ b/tests/relay/test_lost_engines.py
@@ -75,13 +75,13 @@
         self.told = told
         self.sent: list[str] = []
 
-    def on_told(self, kind: peers.FactKind, callback: Any) -> None:
+    def subscribe_facts(self, kind: peers.FactKind, callback: Any) -> None:
         assert kind is peers.FactKind.ENGINE_LOST
 
-    def is_told(self, kind: peers.FactKind, key: str) -> bool:
+    def is_published(self, kind: peers.FactKind, key: str) -> bool:
         return key in self.told
 
-    def tell(
+    def publish_fact(
         self, kind: peers.FactKind, key: str, value: bytes, ttl_s: float
     ) -> None:
         assert ttl_s == engine_book.SUSPECT_S
@@ -129,12 +129,12 @@
     if is_suspect:
         lost.book.suspect("e", engine_book.Suspicion.STALLED, 0.0)
     questions = []
-    lost.on_told = lambda engine, peer: questions.append(peer)
+    lost.on_peer_report = lambda engine, peer: questions.append(peer)
     fact = peers.Fact(
         peers.FactKind.ENGINE_LOST, "e", 1, origin, 3.0, b'"stalled"'
     )
-    lost.take_fact("e", fact)
-    lost.take_fact("e", None)
+    lost.handle_fact("e", fact)
+    lost.handle_fact("e", None)
     assert questions == [origin] * asked
 
 
--- a/tests/relay/test_path_probe.py
+++ b/tests/relay/test_path_probe.py
@@ -46,7 +46,7 @@
                 engine.events = 60
             moves = system.record_moves(shared)
             # What the first engine says comes late, as reports do.
-            running.nodes[0].node.silence.look = lambda: None  # type: ignore[method-assign]
+            running.nodes[0].node.silence.query_first_engines = lambda: None  # type: ignore[method-assign]
             stream = asyncio.create_task(whole.chat(running, "r1"))
             await running.until(lambda: whole.times_run(running, "r1") == 1)
             await asyncio.sleep(0.2)
@@ -128,11 +128,11 @@
     work = background.Background()
     probe = path_probe.PathProbe(shared, work, moves, questions)
     moves.runs = [FakeRun(0.35, ["busy"])]
-    probe.look(2.0)
-    probe.look(2.05)
+    probe.start_due_round(2.0)
+    probe.start_due_round(2.05)
     assert len(work) == 1
     moves.runs.append(FakeRun(0.35, ["dead"]))
-    probe.look(2.1)
+    probe.start_due_round(2.1)
     assert len(work) == 2
     await asynchronous.wait_until(lambda: "dead" in questions.asked)
     await work.close()
--- a/tests/relay/test_restart_of_all_nodes.py
+++ b/tests/relay/test_restart_of_all_nodes.py
@@ -38,7 +38,7 @@
     watch = table_watch.create_table_watch(
         feeds.CountingFeed(), "t", network.ManualClock(), random.Random(1)
     )
-    watch._take_whole(row_feeds.TableChange(tuple(rows.values()), revision))
+    watch._apply_whole(row_feeds.TableChange(tuple(rows.values()), revision))
     return watch
 
 
@@ -47,7 +47,7 @@
 ) -> row_feeds.TableChange:
     """Returns what a reader answers to a node of this version."""
     return peer_rows.decode_answer(
-        reader.rows_after(after, takes_unchanged=True)
+        reader.encode_rows_after(after, takes_unchanged=True)
     )
 
 
@@ -61,13 +61,13 @@
     reader = watch_at(after, 4_002)
     taken: list[row_feeds.FeedRow] = []
     node.on_rows = lambda rows, verified: taken.extend(rows)
-    body = reader.rows_after(4_000, takes_unchanged)
-    node._take(peer_rows.decode_answer(body))
+    body = reader.encode_rows_after(4_000, takes_unchanged)
+    node._apply(peer_rows.decode_answer(body))
     live = {k: r for k, r in node.rows.items() if r.value is not None}
     assert live == after
     assert node.revision == node.complete_since == 4_002
     if takes_unchanged:
-        whole = reader.rows_after(4_000)
+        whole = reader.encode_rows_after(4_000)
         assert len(body) < len(whole) / 10
         assert [(r.key, r.value) for r in taken] == [
             ("engine-7", None),
@@ -79,9 +79,9 @@
     """A node would drop an engine that a peer told it of meanwhile."""
     node = watch_at(registry(), 4_000)
     fresh = row_feeds.FeedRow("fresh", b"{}", 5_000)
-    node._take_peer_rows((fresh,))
+    node._apply_peer_rows((fresh,))
     change = answer_of(watch_at(registry(), 4_002), 4_000)
-    node._take(change)
+    node._apply(change)
     assert node.rows["fresh"] == fresh
 
 
@@ -95,9 +95,9 @@
 
 def test_a_former_version_reads_an_answer_and_asks_a_question() -> None:
     """Nodes of two versions serve together while one replaces the other."""
-    question = peer_rows.decode_question(b'{"after":4000,"wait_s":1.0}')
-    assert not question.takes_unchanged
-    body = watch_at(registry(), 4_002).rows_after(question.after)
+    request = peer_rows.decode_request(b'{"after":4000,"wait_s":1.0}')
+    assert not request.takes_unchanged
+    body = watch_at(registry(), 4_002).encode_rows_after(request.after)
     assert json.loads(body)["unchanged"] == []
     former = b'{"revision":3,"rows":[],"is_whole":false,"age_s":0.1}'
     assert peer_rows.decode_answer(former).unchanged == frozenset()
@@ -105,7 +105,7 @@
 
 @pytest.mark.parametrize(
     ("engines", "codes"),
-    [(1, ["AS4001"]), (catalogue.MOST_NAMED + 1, ["AS4011"])],
+    [(1, ["AS4001"]), (catalogue.MAX_LOGGED_ENGINES + 1, ["AS4011"])],
 )
 def test_a_read_of_many_engines_is_one_log_line(
     engines: int, codes: list[str], monkeypatch: pytest.MonkeyPatch
@@ -118,7 +118,7 @@
     known = catalogues._catalogue()
     rows = [catalogues._row(f"e{i}", catalogues._engine())
             for i in range(engines)]  # fmt: skip
-    known.take_whole_registry(tuple(rows), 0.0, catalogues.AWAY)
+    known.apply_whole_registry(tuple(rows), 0.0, catalogues.AWAY)
     assert seen == codes
     known.take_engine_row(
         catalogues._row("late", catalogues._engine()), 0.0, catalogues.AWAY
--- a/tests/relay/test_shared_feed.py
+++ b/tests/relay/test_shared_feed.py
@@ -152,7 +152,9 @@
     """
     asker = Asker("n40")
     readers = asker.group.readers().chosen
-    own = feed_readers.own_order("n40", readers)[: shared_feed.READERS_TRIED]
+    own = feed_readers.own_order("n40", readers)[
+        : shared_feed.MAX_READERS_TRIED
+    ]
     asker.group.ages = {own[place]: age for place, age in ages.items()}
     if asked == 2:
         # Both orders occur; the one is taken in which the first one fails.
@@ -262,11 +264,11 @@
     )
     live = row_feeds.FeedRow("live", b"1", 30)
     gone = row_feeds.FeedRow("gone", b"1", 60)
-    watch._take_whole(row_feeds.TableChange((live, gone), 100))
+    watch._apply_whole(row_feeds.TableChange((live, gone), 100))
     removed = row_feeds.FeedRow("gone", None, 110)
-    watch._take_changes(row_feeds.TableChange((removed,), 115))
+    watch._apply_changes(row_feeds.TableChange((removed,), 115))
     watch.confirmed_at = watch.clock.monotonic()
-    change = peer_rows.decode_answer(watch.rows_after(after))
+    change = peer_rows.decode_answer(watch.encode_rows_after(after))
     assert change.is_whole is is_whole
     assert [row.key for row in change.rows] == keys
     assert change.revision == 115
@@ -278,15 +280,15 @@
     watch = table_watch.create_table_watch(
         CountingFeed(), "t", network.ManualClock(), random.Random(1)
     )
-    watch._take_whole(row_feeds.TableChange((ROW,), 7))
+    watch._apply_whole(row_feeds.TableChange((ROW,), 7))
     watch.confirmed_at = watch.clock.monotonic()
-    body = peer_rows.encode_question(peer_rows.RowQuestion(7, 1.0))
-    question = asyncio.create_task(watch.answer_peer(body))
+    body = peer_rows.encode_request(peer_rows.RowRequest(7, 1.0))
+    request = asyncio.create_task(watch.answer_peer(body))
     await asyncio.sleep(0.02)
-    assert not question.done()
+    assert not request.done()
     newer = row_feeds.FeedRow("k", b"w", 9)
-    watch._take_changes(row_feeds.TableChange((newer,), 9))
-    change = peer_rows.decode_answer(await question)
+    watch._apply_changes(row_feeds.TableChange((newer,), 9))
+    change = peer_rows.decode_answer(await request)
     assert change.rows == (newer,)
 
 
@@ -295,7 +297,7 @@
     feed = CountingFeed()
     clock = network.ManualClock()
     watch = table_watch.create_table_watch(feed, "t", clock, random.Random(1))
-    watch._take_whole(row_feeds.TableChange((ROW,), 7))
+    watch._apply_whole(row_feeds.TableChange((ROW,), 7))
     answers = await asyncio.gather(*(watch.confirm(0.5) for _ in range(9)))
     assert answers == [True] * 9
     assert feed.calls == 1
--- a/tests/relay/test_stream_moves.py
+++ b/tests/relay/test_stream_moves.py
@@ -34,9 +34,9 @@
     moves.leaving["e"] = asyncio.get_running_loop().time() - since_s
     moved: list[bool] = []
     moves.move_from = (  # type: ignore[method-assign]
-        lambda instance, must: moved.append(must)
+        lambda instance, is_forced: moved.append(is_forced)
     )
-    moves.leave_in_time()
+    moves.move_off_leaving()
     assert moved == [moves_at_any_cost]
 
 
@@ -59,7 +59,7 @@
 
 
 @pytest.mark.parametrize(
-    ("pauses_and_ages", "late_s", "is_heard"),
+    ("pauses_and_ages", "late_s", "is_streaming"),
     [
         ([], 0.0, False),
         ([(0.02, 0.03)], 0.0, True),
@@ -76,7 +76,9 @@
 )
 @asynchronous.run
 async def test_an_engine_lives_while_its_streams_keep_their_pauses(
-    pauses_and_ages: list[tuple[float, float]], late_s: float, is_heard: bool
+    pauses_and_ages: list[tuple[float, float]],
+    late_s: float,
+    is_streaming: bool,
 ) -> None:
     """Streams would leave an engine that closed its port and serves them on."""
     shared: Any = types.SimpleNamespace()
@@ -85,4 +87,4 @@
     runs.append(FakeRun(0.02, 0.01, first="another"))
     moves.streams = lambda: runs  # type: ignore[method-assign]
     moves.late_s = late_s
-    assert moves.is_heard("e") is is_heard
+    assert moves.is_streaming("e") is is_streaming
--- a/tests/relay/test_table_watch.py
+++ b/tests/relay/test_table_watch.py
@@ -59,7 +59,7 @@
             feed, "t", self.clock, random.Random(1)
         )
         self.watch.on_rows = lambda rows, verified: self.take(rows)
-        self.watch.on_whole = self.take_whole
+        self.watch.on_full_read = self.take_whole
 
     def take(self, rows: list[Row]) -> None:
         self.rows.update({row.key: row.value for row in rows})
