--- a/tests/relay/test_catalogue.py
+++ b/tests/relay/test_catalogue.py
@@ -34,9 +34,9 @@
 def test_the_configuration_never_goes_back(
     versions: list[Any], expected: int
 ) -> None:
-    """A caller would meet a route or key that was taken away before.
+    """Otherwise a removed route or key would become valid again.
 
-    Rows come from the store and from peers, in any order, some unreadable.
+    Rows arrive from the store and from peers in any order; some are malformed.
     """
     known = _catalogue()
     for version in versions:
@@ -58,13 +58,13 @@
         (5.0, 10.0, 10.0),
     ],
 )
-def test_entries_that_lapse_while_the_store_is_away_stand_for_a_while(
+def test_entries_that_expire_in_a_store_outage_are_kept_for_a_while(
     back_at: float, removed_at: float, kept_until: float
 ) -> None:
-    """Callers would be refused though all engines live.
+    """Otherwise callers would be refused although all engines are alive.
 
-    The store comes back without the entries that ran out meanwhile; their
-    engines write them again within two seconds. What is missing longer went.
+    After an outage the store lacks the entries that expired during it. Live
+    engines write them again within two seconds; others are gone.
     """
     known = _catalogue()
     known.take_engine_row(_row("i", _engine()), 0.0, AWAY)
@@ -84,7 +84,7 @@
     assert "i" in known.engines
 
 
-def test_leaving_is_told_once() -> None:
+def test_on_leaving_is_called_once() -> None:
     known = _catalogue()
     told: list[str] = []
     known.on_leaving.append(lambda engine: told.append(engine.instance))
@@ -108,10 +108,10 @@
         ({**_engine(), "born": 5}, catalogue.RESTARTED),
     ],
 )
-def test_the_log_tells_why_an_engine_is_gone(
+def test_the_log_states_why_an_engine_is_gone(
     later: Any, reason: str, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """On-call would look for an engine that left, while it lives."""
+    """Otherwise on-call would search for an engine that is still alive."""
     known = _catalogue()
     known.take_engine_row(_row("i", _engine()), 0.0, AWAY)
     known.take_engine_row(_row("i", later, 2), 0.0, AWAY)
--- a/tests/relay/test_events.py
+++ b/tests/relay/test_events.py
@@ -10,7 +10,7 @@
 
 
 @hypothesis.given(strategies.lists(strategies.integers(0, len(STREAM))))
-def test_any_cutting_gives_the_same_events(cuts: list[int]) -> None:
+def test_any_chunking_gives_the_same_events(cuts: list[int]) -> None:
     splitter = events.EventSplitter()
     found = []
     edges = [0, *sorted(cuts), len(STREAM)]
@@ -21,7 +21,7 @@
     assert splitter.partial == b""
 
 
-def test_half_an_event_is_kept_back() -> None:
+def test_a_partial_event_is_buffered() -> None:
     splitter = events.EventSplitter()
     assert splitter.feed(b"id: 1\ndata: a") == []
     assert splitter.partial
@@ -42,7 +42,7 @@
     assert events.read_id(event) == expected
 
 
-def test_events_without_end_are_refused() -> None:
+def test_an_event_that_never_ends_is_rejected() -> None:
     splitter = events.EventSplitter()
     with pytest.raises(ValueError, match="event exceeds 1000000 bytes"):
         splitter.feed(b"a" * (events.MAX_EVENT_BYTES + 1))
--- a/tests/relay/test_group.py
+++ b/tests/relay/test_group.py
@@ -35,10 +35,10 @@
 async def test_rows_of_gone_nodes_are_removed(
     known: tuple[str, ...], written_between: str, removed: list[str]
 ) -> None:
-    """Nodes would try to reach each node that was ever replaced, for ever.
+    """Otherwise nodes would try to connect to every replaced node for ever.
 
-    Nobody knows a node at two sweeps. A node that started in between has
-    written its row again, and stays.
+    A row is removed if its node is unknown at two sweeps. A node that started
+    in between has written its row again, and the row stays.
     """
     store, rows = await announced("a", "b")
     assert await rows.sweep(frozenset(known)) == []
@@ -53,8 +53,8 @@
 
 
 @asynchronous.run
-async def test_a_node_whose_row_was_removed_writes_it_anew() -> None:
-    """A node that was cut off for long would not be found by new nodes."""
+async def test_a_node_whose_row_was_removed_writes_it_again() -> None:
+    """Otherwise new nodes would not find a node after a long partition."""
     store, rows = await announced()
     assert await rows.announce("a", "a:1")
     await store.transact([stores.Write(group.TABLE, "a", None, None)])
@@ -64,10 +64,11 @@
 
 
 class FakeMembers:
-    """Peers with the seconds since they were heard of.
+    """Peers with given seconds since their last heartbeat.
 
     Attributes:
-        lists: How often they were listed.
+        heard: Seconds since the last heartbeat, by peer.
+        lists: Number of times that they were listed.
     """
 
     def __init__(self, heard: list[float]) -> None:
@@ -94,13 +95,13 @@
         ([], 0),
     ],
 )
-def test_callers_are_told_of_peers_heard_of_lately(
+def test_peers_with_recent_heartbeats_are_advertised(
     heard: list[float], named: int
 ) -> None:
-    """Callers would connect to a node that lost power seconds ago.
+    """Otherwise callers would connect to a node that lost power seconds ago.
 
-    In a large group it is suspect only after five seconds. A node that hears
-    of few others goes on naming all that it does not suspect.
+    In a large group a node is suspected only after five seconds. A node with
+    few recent heartbeats still advertises all peers that it does not suspect.
     """
     members: Any = FakeMembers(heard)
     found = group.Group(members).advertised()
@@ -115,10 +116,10 @@
 @pytest.mark.parametrize(
     ("peers", "most_lists"), [(5, 100), (75, 100), (300, 34)]
 )
-def test_nodes_of_large_groups_list_their_peers_seldom(
+def test_nodes_of_large_groups_rarely_list_their_peers(
     peers: int, most_lists: int
 ) -> None:
-    """A list of hundreds of peers at each use would fill a small VM's core."""
+    """Listing hundreds of peers at each use would saturate a core."""
     members: Any = FakeMembers([0.1] * peers)
     joined = group.Group(members)
     for _ in range(1_000):
@@ -130,7 +131,7 @@
 def test_a_peer_that_came_or_went_is_logged_once_it_is_listed(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """Operators would not see which nodes a node has lost."""
+    """Otherwise operators would not see which peers a node has lost."""
     caplog.set_level("INFO")
     members: Any = FakeMembers([0.1, 0.1])
     joined = group.Group(members)
@@ -158,7 +159,7 @@
 async def test_few_of_many_nodes_that_start_together_are_first(
     name: str, rows: int, takes_part: bool
 ) -> None:
-    """75 nodes that know no peers yet would all read the lease's row."""
+    """Otherwise 75 nodes without known peers would all poll the lease row."""
     width = len(name) - 1
     store, own = await announced(*(f"n{i:0{width}}" for i in range(rows)))
     own.name, own.peer_address = name, "a:1"
--- a/tests/relay/test_layer_keeper.py
+++ b/tests/relay/test_layer_keeper.py
@@ -1,4 +1,4 @@
-"""Orders to engines that leave them without an answer."""
+"""Orders that engines do not answer."""
 
 from __future__ import annotations
 
@@ -40,12 +40,13 @@
 
 
 class FakeEngines(path_engines.PathEngines):
-    """Engines that carry orders out at once, or answer nothing.
+    """Engines that execute orders at once, or do not respond.
 
     Attributes:
-        silent: Engines that answer nothing and do nothing.
-        placed: Orders that were sent, also to silent ones.
-        taken: Orders that were carried out.
+        silent: Engines that do not respond and do nothing.
+        placed: Orders that were sent, including those to silent engines.
+        taken: Orders that were executed.
+        on_placed: Called with each executed order.
     """
 
     def __init__(self, clock: clocks.VirtualClock) -> None:
@@ -94,7 +95,7 @@
 
 
 class Fleet:
-    """Engines of one zone, and a keeper that places their layers."""
+    """Engines of one zone, and a layer keeper that places their layers."""
 
     def __init__(self, held: dict[str, Held]) -> None:
         self.clock = clocks.VirtualClock()
@@ -125,7 +126,7 @@
             self.tell(instance, *(layers or (0, 0)))
 
     def tell(self, instance: str, start: int, end: int) -> None:
-        """Lets the registry say what an engine holds."""
+        """Updates the layers of an engine in the registry."""
         entry = {
             "service": standin_system.MODEL_SERVICE,
             "address": f"{instance}:1",
@@ -137,7 +138,7 @@
         self.take(instance, json.dumps(entry).encode())
 
     def lose(self, instance: str) -> None:
-        """Takes an engine out of the registry."""
+        """Removes an engine from the registry."""
         self.take(instance, None)
 
     def take(self, instance: str, value: bytes | None) -> None:
@@ -146,7 +147,7 @@
         self.known.take_engine_row(row, self.clock.now, AWAY)
 
     async def run(self, seconds: float) -> None:
-        """Lets the keeper work for a while."""
+        """Runs the layer keeper for some virtual time."""
         until = self.clock.now + seconds
         while self.clock.now < until:
             self.keeper.tick()
@@ -163,7 +164,7 @@
 
 
 def _fleet() -> Fleet:
-    """Returns a chain of three with three standbys."""
+    """Returns a chain of three engines with three standbys."""
     return Fleet(
         {
             "e0": (0, 27),
@@ -178,11 +179,11 @@
 
 @asynchronous.run
 async def test_layers_go_to_others_when_an_engine_does_not_answer() -> None:
-    """All callers of a zone would be refused until the silent one answers.
+    """Otherwise a zone would refuse all callers until a silent engine answers.
 
-    An engine is gone, and standbys are ordered to share its layers. One of
-    them says nothing. Its share is ordered from others within a second and a
-    half of the loss, though the silent engine stays in the registry.
+    An engine is gone, and standbys are ordered to share its layers. One of them
+    does not respond. Others are ordered to load its share within 1.5 s of the
+    loss, although the silent engine stays in the registry.
     """
     fleet = _fleet()
     fleet.engines.silent.add("s0")
@@ -197,11 +198,11 @@
 async def test_what_a_silent_engine_may_have_given_up_is_kept_by_others() -> (
     None
 ):
-    """Callers would be refused once the late order is carried out.
+    """Otherwise callers would be refused once the late order is executed.
 
-    A standby says nothing to an order by which it gives up its layers; it
-    may do so at any time. Until it answers, none of the others that hold
-    these layers counts on it.
+    A standby does not answer an order that replaces its layers, and may execute
+    it at any time. Until it answers, the plan must not rely on the layers that
+    it held, so other engines keep them.
     """
     fleet = _fleet()
     fleet.engines.silent.add("s0")
@@ -214,10 +215,10 @@
 
 @asynchronous.run
 async def test_an_order_without_an_answer_is_sent_again() -> None:
-    """An engine whose answer was lost would stay without its layers.
+    """Otherwise an engine whose answer was lost would never get its layers.
 
-    A standby says nothing for two seconds and then answers. The same order
-    is sent again, and it takes it, though others hold the layers by then.
+    A standby does not respond for two seconds. The same order is then sent
+    again, and the standby executes it although others hold the layers by then.
     """
     fleet = _fleet()
     fleet.engines.silent.add("s0")
@@ -232,10 +233,10 @@
 
 @asynchronous.run
 async def test_no_layers_are_moved_when_most_engines_are_silent() -> None:
-    """Engines that are well would load for nothing, and refuse meanwhile.
+    """Otherwise healthy engines would load layers, and refuse work meanwhile.
 
-    The holder's own link is cut: none of its orders is answered. It repeats
-    them, and sends no others.
+    The lease holder's own link is cut, so none of its orders is answered. It
+    resends them and sends no other orders.
     """
     fleet = _fleet()
     fleet.engines.silent.update(fleet.known.engines)
--- a/tests/relay/test_lifetimes.py
+++ b/tests/relay/test_lifetimes.py
@@ -1,4 +1,4 @@
-"""Engines that start again under the name that they had."""
+"""Engines that restart under the same name, and invalid registry rows."""
 
 from __future__ import annotations
 
@@ -49,8 +49,10 @@
     ("engine", "born"),
     [("i-1", 0), ("i-1", 17), ("a@b", 0), ("a@b", 3), ("@", 0), ("", 5)],
 )
-def test_an_engine_is_called_by_its_own_name(engine: str, born: int) -> None:
-    """Expecting a name with its start would be refused by the engine."""
+def test_a_lifetime_name_contains_the_engine_name(
+    engine: str, born: int
+) -> None:
+    """The engine refuses requests that expect a name with its start time."""
     lifetime = lifetimes.lifetime_name(engine, born)
     assert lifetimes.engine_name(lifetime) == engine or not engine
 
@@ -68,13 +70,14 @@
         ([0, 7], "i@7"),
     ],
 )
-def test_the_newest_start_stands(
+def test_the_newest_start_is_current(
     starts: list[int | None], expected: str | None
 ) -> None:
-    """A caller's stream would wait for layers that nobody holds.
+    """Otherwise streams would wait for layers that no engine holds.
 
-    An engine starts again under its name. Its former entry comes late, from
-    the store or a peer, also after the new start is gone: it must not stand.
+    An engine restarts under its name. An entry of its previous start may arrive
+    late from the store or a peer, even after the new start is gone, and must
+    not be applied.
     """
     known = _catalogue()
     for revision, born in enumerate(starts, start=1):
@@ -86,13 +89,11 @@
     assert _instances(known) == ([expected] if expected else [])
 
 
-def test_a_restart_ends_what_was_believed_before_the_new_start_is_seen() -> (
-    None
-):
-    """Streams go on elsewhere, and beliefs end with the start they are of.
+def test_a_restart_calls_back_for_the_previous_start_first() -> None:
+    """Callbacks for the previous start come before those for the new one.
 
-    The order matters: what is told of the former start, after the new one is
-    known, would be noted for the new one.
+    Otherwise what they change for the previous start would be recorded for the
+    new one.
     """
     known = _catalogue()
     told: list[tuple[str, str]] = []
@@ -119,7 +120,7 @@
     assert known.engines["i@9"].layers is None
 
 
-def test_a_removal_takes_the_start_that_stands() -> None:
+def test_a_removal_drops_the_current_start() -> None:
     known = _catalogue()
     known.take_engine_row(_row("i", _born(5)), 0.0, AWAY)
     known.take_engine_row(_row("i", _born(9), 2), 0.0, AWAY)
@@ -134,22 +135,23 @@
 def _heartbeats(
     known: catalogue.Catalogue, born: int, count: int, revision: int
 ) -> None:
-    """Takes rows that an engine writes one after the other."""
+    """Applies rows that an engine writes as consecutive heartbeats."""
     for index in range(count):
         row = _row("i", _born(born), revision + index)
         known.take_engine_row(row, (revision + index) * HEARTBEAT_S, AWAY)
 
 
 @pytest.mark.parametrize("foreign", [9, FUTURE])
-def test_a_start_that_nobody_goes_on_writing_shuts_no_engine_out(
+def test_a_foreign_start_that_is_not_written_again_is_overturned(
     foreign: int,
 ) -> None:
-    """The engine would get no request until it starts again after that time.
+    """Otherwise the engine would get no requests until it restarts after that.
 
-    It writes its row each heartbeat. Another writer puts a row under its name
-    with a later start, once; the engine's own rows then count as late ones of
-    a former start. They go on, the other's don't, so they stand again. The
-    other's row written once more, with any start from then on, changes nothing.
+    The engine writes its row with each heartbeat. Another writer once writes a
+    row under the same name with a later start time, so the engine's own rows
+    count as late rows of a previous start. As only they continue, they become
+    current again. A further foreign row with that or a later start time has no
+    effect.
     """
     known = _catalogue()
     _heartbeats(known, 5, 3, 1)
@@ -163,11 +165,11 @@
         assert _instances(known) == ["i@5"]
 
 
-def test_a_late_row_that_is_told_again_brings_no_former_start_back() -> None:
-    """A stream would wait for layers that the new start doesn't hold.
+def test_a_repeated_late_row_does_not_restore_a_previous_start() -> None:
+    """Otherwise streams would wait for layers that the new start doesn't hold.
 
-    One late write of the former start reaches the store. Each peer tells the
-    same row again, and whole reads do: it is one write all the same.
+    One late write of the previous start reaches the store. Peers and full reads
+    repeat the same row, which still counts as a single write.
     """
     known = _catalogue()
     _heartbeats(known, 5, 1, 1)
@@ -178,10 +180,11 @@
     assert _instances(known) == ["i@9"]
 
 
-def test_two_that_write_under_one_name_end_with_the_later_start() -> None:
-    """Streams would be moved to and fro with each row.
+def test_of_two_writers_of_one_name_the_later_start_wins() -> None:
+    """Otherwise streams would move back and forth with each row.
 
-    A former start that stood still wakes and writes beside the new one.
+    A suspended process of the previous start resumes and writes rows at the
+    same time as the new one.
     """
     known = _catalogue()
     _heartbeats(known, 5, 1, 1)
@@ -191,11 +194,11 @@
         assert _instances(known) == ["i@9"]
 
 
-def test_an_engine_that_restarts_after_a_false_start_is_known_at_once() -> None:
-    """Its layers are gone: what is sent for them would be refused.
+def test_a_restart_after_a_rejected_start_is_current_at_once() -> None:
+    """Otherwise it would refuse requests for layers that it no longer holds.
 
-    A start from the far future was given up. The engine then starts again,
-    later than before and earlier than that one.
+    A row with a start time in the far future was rejected. The engine then
+    restarts, with a start time between its previous one and the rejected one.
     """
     known = _catalogue()
     _heartbeats(known, 5, 1, 1)
@@ -240,10 +243,10 @@
 def test_an_entry_that_cannot_be_right_names_no_engine(
     entry: dict[str, Any], whole: bool
 ) -> None:
-    """Others write to the registry too; their rows must not draw requests.
+    """Invalid rows of other writers must not attract requests.
 
-    The rows beside it hold. An engine whose own row turns so gets nothing
-    until the row can be read again.
+    Other rows stay valid. An engine whose own row becomes invalid gets no work
+    until the row is valid again.
     """
     known = _catalogue()
     known.take_engine_row(_row("i", GOOD), 0.0, AWAY)
@@ -282,10 +285,10 @@
     suppress_health_check=[hypothesis.HealthCheck.too_slow],
 )
 @hypothesis.given(strategies.lists(CONTENTS, max_size=4))
-def test_good_rows_hold_beside_whatever_others_write(
+def test_valid_rows_survive_arbitrary_rows_of_other_writers(
     contents: list[bytes],
 ) -> None:
-    """Some row of another writer would stop a node from reading the rest."""
+    """No row of another writer may prevent a node from reading the rest."""
     known = _catalogue()
     rows = [row_feeds.FeedRow("good", json.dumps(GOOD).encode(), 1)]
     rows += [
--- a/tests/relay/test_lost_engines.py
+++ b/tests/relay/test_lost_engines.py
@@ -1,4 +1,4 @@
-"""Engines that one node finds dead, and what the other nodes make of it."""
+"""Engines that one node finds dead, and how the other nodes react."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 
 def test_a_dead_engine_costs_the_second_node_no_request() -> None:
-    """A caller's request would be refused by engines that are long known dead.
+    """Otherwise each node would lose a request to an engine known to be dead.
 
-    The first engine of a chain dies. One node's request finds it; the other
-    node is told, asks the engine, and sends its own next request elsewhere
-    at once. It had no request on that engine by which to notice.
+    The first engine of a chain dies and one node notices. The other node, which
+    has no request on that engine, is notified, queries the engine, and sends
+    its next request elsewhere.
     """
 
     async def scenario() -> None:
@@ -41,11 +41,11 @@
     asyncio.run(scenario())
 
 
-def test_a_sound_engine_stays_whatever_a_peer_says() -> None:
-    """A node with a bad link would take sound engines from all callers.
+def test_a_healthy_engine_is_kept_despite_a_peers_report() -> None:
+    """Otherwise a node with a faulty link would eject healthy engines for all.
 
-    It tells its peers that an engine is dead. They ask the engine, which
-    answers, and go on with it.
+    It reports an engine as dead. Its peers query the engine, which answers, and
+    continue to use it.
     """
 
     async def scenario() -> None:
@@ -67,7 +67,12 @@
 
 
 class FakeGroup:
-    """Peers that keep what they are told."""
+    """A group that records published facts.
+
+    Attributes:
+        told: Keys that some node already publishes.
+        sent: Keys that this node published.
+    """
 
     name = "n1"
 
@@ -99,10 +104,10 @@
     ],
 )
 @asynchronous.run
-async def test_peers_are_told_once_of_what_they_can_check(
+async def test_suspicions_that_peers_can_check_are_published_once(
     reason: str, told: set[str], sent: list[str]
 ) -> None:
-    """Load: two hundred nodes find the same seven engines dead in a second."""
+    """Load: 200 nodes find the same seven engines dead within a second."""
     lost, group = _lost(told)
     for _ in range(3):
         lost.suspect("e", engine_book.Suspicion(reason))
@@ -120,7 +125,7 @@
     ids=["news", "own word", "known dead", "not registered"],
 )
 @asynchronous.run
-async def test_only_news_brings_a_question(
+async def test_only_new_reports_trigger_a_query(
     origin: str, is_suspect: bool, is_known: bool, asked: int
 ) -> None:
     lost, _ = _lost(set())
--- a/tests/relay/test_path_probe.py
+++ b/tests/relay/test_path_probe.py
@@ -1,4 +1,4 @@
-"""Dead engines behind silent streams, found within the streams' pause."""
+"""Detection of dead engines before their silent streams are late."""
 
 from __future__ import annotations
 
@@ -24,13 +24,15 @@
 
 
 @pytest.mark.parametrize("is_dark", [False, True])
-def test_streams_leave_a_dead_engine_within_their_pause(is_dark: bool) -> None:
-    """A caller's stream is late once it pauses for 200 ms.
+def test_streams_leave_a_dead_engine_before_they_are_late(
+    is_dark: bool,
+) -> None:
+    """A stream is late after a gap of 200 ms.
 
-    An engine in the middle of the path dies, so that its port refuses or says
-    nothing; its first engine is slow to tell. The stream is silent for a few
-    of its usual pauses, all engines of its path are asked, and the one that
-    does not answer twice is left at once.
+    An engine in the middle of the path dies; its port refuses connections or
+    does not respond. Reports of the first engine come too late. Once the stream
+    has been silent for a few of its usual intervals, all engines of its path
+    are queried, and the stream leaves the one that misses two queries.
     """
 
     async def scenario() -> None:
@@ -45,7 +47,7 @@
                 engine.gap_s = 0.02
                 engine.events = 60
             moves = system.record_moves(shared)
-            # What the first engine says comes late, as reports do.
+            # Reports of the first engine are delayed.
             running.nodes[0].node.silence.query_first_engines = lambda: None  # type: ignore[method-assign]
             stream = asyncio.create_task(whole.chat(running, "r1"))
             await running.until(lambda: whole.times_run(running, "r1") == 1)
@@ -60,17 +62,17 @@
             assert status == 200
             assert len(whole.tokens(body)) == 60
             assert moves[0].outcome == "done"
-            # 0.1 s for two questions without an answer, and the pauses before.
+            # 0.1 s for two unanswered queries, and the silence before them.
             assert moves[0].silent_s < (0.30 if is_dark else 0.20)
 
     asyncio.run(scenario())
 
 
 class FakeQuestions:
-    """Engines that answer when a test lets them.
+    """Engines whose answers the test controls.
 
     Attributes:
-        asked: Queries that wait for their outcome, by engine.
+        asked: Outcomes of queries, set by the test, by engine.
     """
 
     def __init__(self) -> None:
@@ -100,7 +102,7 @@
 async def test_an_engine_is_queried_again_before_the_first_query_ends(
     outcomes: list[bool | None], is_lost: bool
 ) -> None:
-    """Streams would be late before their dead engine is found."""
+    """Otherwise streams would be late before their dead engine is found."""
     shared: Any = FakeShared()
     moves: Any = FakeMoves(shared.book)
     questions = FakeQuestions()
@@ -121,7 +123,7 @@
 
 @asynchronous.run
 async def test_a_busy_engine_does_not_delay_the_probe_of_another() -> None:
-    """A stream over a dead engine would wait as long as one over a busy one."""
+    """Otherwise streams on a dead engine would wait for another's backoff."""
     shared: Any = FakeShared()
     moves: Any = FakeMoves(shared.book)
     questions: Any = FakeQuestions()
@@ -160,7 +162,7 @@
 
 
 class FakeRun:
-    """A stream of an event each 0.1 s since second 0."""
+    """A stream with an event every 0.1 s from second 0 to second 1."""
 
     def __init__(
         self, silent_s: float, names: Iterable[str], events: int = 11
@@ -191,13 +193,13 @@
     ],
 )
 @asynchronous.run
-async def test_only_engines_that_nothing_came_through_are_asked(
+async def test_only_engines_without_recent_events_are_queried(
     runs: list[FakeRun], asked: str
 ) -> None:
-    """Callers gain nothing by questions about engines that work.
+    """Queries to engines that work are useless.
 
-    A pause of one stream among others over the same engines is its own; a
-    stream that is slow by nature is not silent after the same time.
+    A gap of one stream does not concern its engines if other streams over them
+    have none. A slow stream counts as silent only after a longer time.
     """
     shared: Any = FakeShared()
     nothing: Any = None
--- a/tests/relay/test_restart_of_all_nodes.py
+++ b/tests/relay/test_restart_of_all_nodes.py
@@ -1,4 +1,4 @@
-"""Nodes that start together before a large registry."""
+"""Nodes that restart together with a large registry."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def watch_at(rows: Rows, revision: int) -> table_watch.TableWatch:
-    """Returns a watch that read a table whole at a revision."""
+    """Returns a watch after a full read at a revision."""
     watch = table_watch.create_table_watch(
         feeds.CountingFeed(), "t", network.ManualClock(), random.Random(1)
     )
@@ -45,7 +45,7 @@
 def answer_of(
     reader: table_watch.TableWatch, after: int
 ) -> row_feeds.TableChange:
-    """Returns what a reader answers to a node of this version."""
+    """Returns a reader's answer to a node of the current version."""
     return peer_rows.decode_answer(
         reader.encode_rows_after(after, takes_unchanged=True)
     )
@@ -53,7 +53,7 @@
 
 @pytest.mark.parametrize("takes_unchanged", [False, True])
 def test_rows_that_a_node_has_are_not_sent_again(takes_unchanged: bool) -> None:
-    """Readers would send the whole registry to each node that restarts."""
+    """Otherwise readers would send the whole registry to each such node."""
     before = registry()
     node = watch_at(before, 4_000)
     after = {k: r for k, r in before.items() if k != "engine-7"}
@@ -75,8 +75,8 @@
         ]
 
 
-def test_a_row_that_is_newer_than_the_answer_stays() -> None:
-    """A node would drop an engine that a peer told it of meanwhile."""
+def test_a_row_that_is_newer_than_the_answer_is_kept() -> None:
+    """Otherwise a node would drop an engine that a peer just reported."""
     node = watch_at(registry(), 4_000)
     fresh = row_feeds.FeedRow("fresh", b"{}", 5_000)
     node._apply_peer_rows((fresh,))
@@ -86,15 +86,15 @@
 
 
 def test_a_node_without_a_copy_gets_all_rows() -> None:
-    """A node would take rows for known that it never had."""
+    """Otherwise rows that the node never received would be left out."""
     change = answer_of(watch_at(registry(), 4_002), -1)
     assert change.is_whole
     assert not change.unchanged
     assert len(change.rows) == ENGINES
 
 
-def test_a_former_version_reads_an_answer_and_asks_a_question() -> None:
-    """Nodes of two versions serve together while one replaces the other."""
+def test_messages_are_compatible_with_the_previous_version() -> None:
+    """Nodes of two versions run side by side during an upgrade."""
     request = peer_rows.decode_request(b'{"after":4000,"wait_s":1.0}')
     assert not request.takes_unchanged
     body = watch_at(registry(), 4_002).encode_rows_after(request.after)
@@ -110,7 +110,10 @@
 def test_a_read_of_many_engines_is_one_log_line(
     engines: int, codes: list[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Lines on decisions would be dropped for seconds after each start."""
+    """Otherwise the log's rate limit would drop lines about decisions.
+
+    This would last for seconds after each start.
+    """
     seen: list[str] = []
     monkeypatch.setattr(
         log_events, "emit", lambda logger, event: seen.append(event.code())
--- a/tests/relay/test_shared_feed.py
+++ b/tests/relay/test_shared_feed.py
@@ -1,4 +1,4 @@
-"""Many nodes that follow the store's tables through a few readers."""
+"""Large groups that follow the store's tables through a few readers."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class CountingFeed(row_feeds.RowFeed):
-    """A store that counts its calls."""
+    """A store that counts calls."""
 
     def __init__(self) -> None:
         self.calls = 0
@@ -52,7 +52,12 @@
 
 
 class FakeGroup:
-    """The group as one node sees it; ``answers`` by reader, in age."""
+    """The group as one node sees it.
+
+    Attributes:
+        ages: Age of a reader's copy by name; None if it does not respond.
+        asked: Names of the readers that were asked.
+    """
 
     def __init__(self, name: str, nodes: list[feed_readers.GroupNode]) -> None:
         self.name = name
@@ -125,8 +130,8 @@
     assert readers == feed_readers.chosen_readers(known)
 
 
-def test_readers_get_about_as_many_questions() -> None:
-    """A reader that most nodes prefer would answer late, and all would wait."""
+def test_requests_are_spread_evenly_over_readers() -> None:
+    """A reader that most nodes prefer would be overloaded and answer late."""
     readers = feed_readers.chosen_readers(MANY).chosen
     first = [feed_readers.own_order(n.name, readers)[0] for n in MANY]
     assert all(first.count(r.name) <= len(MANY) / 2 for r in readers)
@@ -145,10 +150,10 @@
 async def test_a_node_asks_its_two_readers_and_then_the_store(
     ages: dict[int, float | None], asked: int, store_calls: int
 ) -> None:
-    """A reader that lost the store would keep changes from other nodes.
+    """Otherwise a reader that lost the store would withhold changes.
 
-    It says how old its copy is, or says nothing; the node asks its other
-    reader, and if that can't help the store itself, at once.
+    If its copy is too old or it does not respond, the node asks its other
+    reader at once, and then the store itself.
     """
     asker = Asker("n40")
     readers = asker.group.readers().chosen
@@ -157,7 +162,7 @@
     ]
     asker.group.ages = {own[place]: age for place, age in ages.items()}
     if asked == 2:
-        # Both orders occur; the one is taken in which the first one fails.
+        # The order is random; use the one in which the first reader fails.
         asker.feed.rng = NoShuffle()
     assert await asker.ask()
     assert len(asker.group.asked) == asked
@@ -167,11 +172,11 @@
 
 @asynchronous.run
 async def test_stand_ins_answer_while_all_readers_lost_the_store() -> None:
-    """Load: the store turns a third of 76 nodes away, all readers among them.
+    """Load: the store rejects a third of 76 nodes, including all readers.
 
-    Were all other nodes to follow the store themselves, they would make two
-    calls a second each. They ask stand-ins as soon as no reader is left, and
-    a stand-in, which asks only readers, reads the store.
+    If all other nodes polled the store themselves, each would make two calls
+    per second. Instead they ask stand-ins once no reader is left. A stand-in
+    itself asks only readers, and then reads the store.
     """
     readers = feed_readers.chosen_readers(MANY)
     lost: dict[str, float | None] = {n.name: 9.0 for n in readers.chosen}
@@ -187,8 +192,8 @@
 
 
 @asynchronous.run
-async def test_a_silent_reader_is_passed_over_for_longer() -> None:
-    """Each question to a node that lost power costs over a second of news."""
+async def test_a_silent_reader_is_skipped_for_longer() -> None:
+    """Each request to a reader without power delays changes by over 1 s."""
     asker = Asker("n40")
     readers = asker.group.readers().chosen
     silent = feed_readers.own_order("n40", readers)[0]
@@ -205,12 +210,12 @@
         del x
 
 
-def test_an_absent_store_is_not_overrun_by_many_nodes() -> None:
-    """Load: 76 nodes lose the store at once, and all try again for 10 s.
+def test_an_unavailable_store_is_not_overloaded_by_many_nodes() -> None:
+    """Load: 76 nodes lose the store at once and retry for 10 s.
 
-    Each follows two tables and tries some 2.5 times a second, which would be
-    380 calls a second, each of them paid for. Three readers go on so; the
-    others together make some 20 calls a second, and hear from the readers
+    Each follows two tables and retries about 2.5 times a second, which would be
+    380 calls a second, all of them billed. Three readers keep this rate. The
+    others together make about 20 calls a second, and learn from the readers
     when the store is back.
     """
 
@@ -238,7 +243,7 @@
 
 
 @asynchronous.run
-async def test_a_node_that_alone_reaches_the_store_goes_on_with_it() -> None:
+async def test_the_only_node_that_reaches_the_store_keeps_using_it() -> None:
     asker = Asker("n40")
     asker.group.ages = {n.name: 9.0 for n in MANY}
     for _ in range(3):
@@ -251,13 +256,13 @@
     [(40, True, ["live"]), (100, False, ["gone"]), (120, False, [])],
 )
 @asynchronous.run
-async def test_a_peer_that_knows_less_than_the_copy_gets_all_rows(
+async def test_a_peer_with_an_older_copy_gets_all_rows(
     after: int, is_whole: bool, keys: list[str]
 ) -> None:
-    """A node would send work for ever to what was removed before.
+    """Otherwise a node would use removed engines for ever.
 
-    A reader started at revision 100 and has no trace of what was removed
-    earlier; a peer at 40 gets all rows, and drops what is not among them.
+    A reader started at revision 100 and has no tombstones of earlier removals.
+    A peer at revision 40 gets all rows, and drops those that are missing.
     """
     watch = table_watch.create_table_watch(
         CountingFeed(), "t", network.ManualClock(), random.Random(1)
@@ -276,7 +281,7 @@
 
 
 @asynchronous.run
-async def test_a_peers_question_waits_for_a_change() -> None:
+async def test_a_peers_request_waits_for_a_change() -> None:
     watch = table_watch.create_table_watch(
         CountingFeed(), "t", network.ManualClock(), random.Random(1)
     )
@@ -293,7 +298,7 @@
 
 
 @asynchronous.run
-async def test_many_denials_ask_the_store_once() -> None:
+async def test_concurrent_denials_confirm_with_the_store_once() -> None:
     feed = CountingFeed()
     clock = network.ManualClock()
     watch = table_watch.create_table_watch(feed, "t", clock, random.Random(1))
--- a/tests/relay/test_stream_moves.py
+++ b/tests/relay/test_stream_moves.py
@@ -1,4 +1,4 @@
-"""Streams on engines that leave, or that seem dead."""
+"""Streams on engines that are leaving or seem dead."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize(
-    ("notice_s", "since_s", "moves_at_any_cost"),
+    ("notice_s", "since_s", "may_leave_zone"),
     [
         (2.0, 1.5, False),
         (2.0, 1.7, True),
@@ -25,10 +25,10 @@
     ],
 )
 @asynchronous.run
-async def test_streams_stay_in_their_zone_while_the_notice_lasts(
-    notice_s: float, since_s: float, moves_at_any_cost: bool
+async def test_streams_stay_in_their_zone_during_the_notice_period(
+    notice_s: float, since_s: float, may_leave_zone: bool
 ) -> None:
-    """Moved too early, streams falter over links between zones."""
+    """Streams that move too early stutter over the links between zones."""
     shared: Any = types.SimpleNamespace(engine_notice_s=notice_s)
     moves = stream_moves.StreamMoves(shared, background.Background())
     moves.leaving["e"] = asyncio.get_running_loop().time() - since_s
@@ -37,7 +37,7 @@
         lambda instance, is_forced: moved.append(is_forced)
     )
     moves.move_off_leaving()
-    assert moved == [moves_at_any_cost]
+    assert moved == [may_leave_zone]
 
 
 class FakeAttempt:
@@ -48,7 +48,13 @@
 
 
 class FakeRun:
-    """A stream of an event in each pause, the last one some time ago."""
+    """A stream with regular events, the last one ``age_s`` ago.
+
+    Args:
+        pause_s: Interval between events.
+        age_s: Time since the last event.
+        first: Instance of the first engine.
+    """
 
     def __init__(self, pause_s: float, age_s: float, first: str = "e") -> None:
         self.events_sent = 11
@@ -66,21 +72,21 @@
         ([(0.02, 0.12)], 0.0, False),
         ([(0.08, 0.12)], 0.0, True),
         ([(0.08, 0.30)], 0.0, False),
-        # One waits for another engine of its path.
+        # One stream waits for another engine of its path.
         ([(0.02, 0.50), (0.02, 0.03)], 0.0, True),
-        # Two queries were not answered since the last event of any.
+        # No stream had an event within the time of two unanswered queries.
         ([(0.02, 0.16), (0.08, 0.16)], 0.0, False),
-        # Nothing was read meanwhile.
+        # This process was not scheduled, so events have not been read yet.
         ([(0.02, 0.22)], 0.2, True),
     ],
 )
 @asynchronous.run
-async def test_an_engine_lives_while_its_streams_keep_their_pauses(
+async def test_an_engine_is_alive_while_its_streams_receive_events(
     pauses_and_ages: list[tuple[float, float]],
     late_s: float,
     is_streaming: bool,
 ) -> None:
-    """Streams would leave an engine that closed its port and serves them on."""
+    """Otherwise streams would leave an engine that closed its port to drain."""
     shared: Any = types.SimpleNamespace()
     moves = stream_moves.StreamMoves(shared, background.Background())
     runs: Any = [FakeRun(pause, age) for pause, age in pauses_and_ages]
--- a/tests/relay/test_table_watch.py
+++ b/tests/relay/test_table_watch.py
@@ -16,12 +16,14 @@
 
 
 class FakeFeed(row_feeds.RowFeed):
-    """A store whose answers tests set.
+    """A store with answers that tests set.
 
     Attributes:
-        whole: Rows of a whole read.
-        changes: Answers to questions for changes, in order.
-        is_away: Nothing is answered.
+        whole: Rows of a full read.
+        revision: Revision of a full read.
+        changes: Answers to requests for changes, in order.
+        is_away: Whether all calls fail.
+        whole_reads: Number of full reads.
     """
 
     def __init__(self) -> None:
@@ -69,11 +71,11 @@
 
 
 @asynchronous.run
-async def test_a_dropped_history_brings_a_whole_read() -> None:
-    """A node would act on rows that were removed in the gap.
+async def test_a_dropped_history_causes_a_full_read() -> None:
+    """Otherwise a node would act on rows that were removed in the gap.
 
-    The store forgets its history; the next question finds none, and the
-    node reads the table whole, without the removed row.
+    The store dropped its history, so it cannot answer the next request for
+    changes. The node reads the whole table, which lacks the removed row.
     """
     feed = FakeFeed()
     feed.whole = [Row("a", b"1", 1), Row("b", b"1", 1)]
@@ -88,7 +90,7 @@
 
 
 @asynchronous.run
-async def test_rows_come_from_peers_while_the_store_refuses() -> None:
+async def test_rows_come_from_peers_during_a_store_outage() -> None:
     feed = FakeFeed()
     feed.whole = [Row("a", b"1", 1)]
     seen, other = Seen(feed), Seen(FakeFeed())
@@ -112,9 +114,7 @@
 
 
 @asynchronous.run
-async def test_a_fault_in_what_rows_bring_about_does_not_end_the_watch() -> (
-    None
-):
+async def test_an_error_in_a_callback_does_not_end_the_watch() -> None:
     feed = FakeFeed()
     seen = Seen(feed)
     taken: list[str] = []
