--- a/src/almondshift/relay/group.py
+++ b/src/almondshift/relay/group.py
@@ -178,8 +178,6 @@
     Attributes:
         members: Membership and message exchange with peers.
         states: State of each peer as last logged, by name.
-        cached_peers: Cached list of peers.
-        logged_peers: The list of peers of the last ``log_changes``.
         cached_readers: Readers chosen from the cached list; None if not chosen
             yet.
         cache_expires_at: Monotonic time at which the cached list expires.
--- a/src/almondshift/relay/silence_watch.py
+++ b/src/almondshift/relay/silence_watch.py
@@ -49,8 +49,6 @@
         moves: Moves streams off engines.
         questions: Queries engines for reports.
         probe: Finds dead engines behind silent streams.
-        ask_again_at: Loop time of the next check of all engines' states.
-        queried_at: Loop time of the last query, by instance.
         unanswered: Unanswered queries in a row, by instance.
     """
 
--- a/src/almondshift/relay/stream_attempt.py
+++ b/src/almondshift/relay/stream_attempt.py
@@ -26,7 +26,6 @@
         active_at: Loop time of the last received data, successful move or, at
             first, of the send.
         is_stream: Whether the response is the requested stream.
-        failure: Body of a response that is not a stream.
         moving: Whether a move is in progress.
     """
 
--- a/src/almondshift/relay/stream_moves.py
+++ b/src/almondshift/relay/stream_moves.py
@@ -40,7 +40,6 @@
     Attributes:
         leaving: Loop time at which it became known that an engine leaves, by
             instance.
-        last_leave_at: Loop time of the last moves off leaving engines.
         checked_at: Loop time of the last check of all streams.
         late_s: Delay of that check, in seconds.
     """
--- a/src/almondshift/relay/stream_run.py
+++ b/src/almondshift/relay/stream_run.py
@@ -43,7 +43,6 @@
     """A stream for a caller, which may run over several paths in turn.
 
     Attributes:
-        attempt: The current attempt; None between attempts.
         events_sent: Number of events sent to the caller.
         first_at: Loop time of the first event, or of the arrival.
         progress_at: Loop time of the last event, or of the arrival.
--- a/src/almondshift/relay/table_watch.py
+++ b/src/almondshift/relay/table_watch.py
@@ -57,7 +57,6 @@
         newest_row_revision: Revision of the newest change in the copy.
         wait_s: Long-poll time of requests for changes.
         changed: Set at each change, and then replaced by a new event.
-        confirmation: The last confirmation, shared by concurrent callers.
         outage_since: Monotonic time at which the current store outage began;
             None without an outage.
         on_rows: Called with changed rows, and whether they came from the store
--- a/tests/relay/test_table_watch.py
+++ b/tests/relay/test_table_watch.py
@@ -53,7 +53,7 @@
         return expression.Ok(self.changes.pop(0))
 
 
-class Seen:
+class Recorder:
     def __init__(self, feed: FakeFeed) -> None:
         self.rows: dict[str, bytes | None] = {}
         self.clock = network.ManualClock()
@@ -79,7 +79,7 @@
     """
     feed = FakeFeed()
     feed.whole = [Row("a", b"1", 1), Row("b", b"1", 1)]
-    seen = Seen(feed)
+    seen = Recorder(feed)
     await seen.watch.start()
     await asynchronous.wait_until(lambda: len(seen.rows) == 2)
     feed.whole, feed.revision = [Row("b", b"2", 7)], 7
@@ -93,7 +93,7 @@
 async def test_rows_come_from_peers_during_a_store_outage() -> None:
     feed = FakeFeed()
     feed.whole = [Row("a", b"1", 1)]
-    seen, other = Seen(feed), Seen(FakeFeed())
+    seen, other = Recorder(feed), Recorder(FakeFeed())
     other.watch.revision = 9
     other.watch.rows = {"a": Row("a", b"2", 9), "c": Row("c", None, 8)}
 
@@ -116,7 +116,7 @@
 @asynchronous.run
 async def test_an_error_in_a_callback_does_not_end_the_watch() -> None:
     feed = FakeFeed()
-    seen = Seen(feed)
+    seen = Recorder(feed)
     taken: list[str] = []
 
     def fail_first(rows: list[Row], verified: bool) -> None:
@@ -137,7 +137,7 @@
 @asynchronous.run
 async def test_old_rows_never_replace_newer_ones() -> None:
     feed = FakeFeed()
-    seen = Seen(feed)
+    seen = Recorder(feed)
     await seen.watch.start()
     feed.changes = [
         row_feeds.TableChange((Row("a", b"2", 5),), 5),
