--- a/src/almondshift/relay/engine_questions.py
+++ b/src/almondshift/relay/engine_questions.py
@@ -37,7 +37,7 @@
 half the validity of its report."""
 
 SUSPECT_QUERY_GAP_S = 1.0
-"""Interval between trials of a suspect, in seconds."""
+"""Interval between queries of a suspect, in seconds."""
 
 MAX_QUERIES = 24
 """Maximum concurrent queries and moves; others wait for the next check."""
--- a/src/almondshift/relay/group.py
+++ b/src/almondshift/relay/group.py
@@ -73,7 +73,7 @@
     """Rows in the store by which nodes discover each other.
 
     Attributes:
-        stale: Revisions of the rows, by name, whose nodes no peer knew at the
+        stale: Revisions by name of the rows whose nodes were unknown at the
             last sweep.
         addresses: Peer addresses in the rows that were read last.
         names: Node names in the rows that were read last; empty before the
--- a/src/almondshift/relay/lost_engines.py
+++ b/src/almondshift/relay/lost_engines.py
@@ -34,8 +34,8 @@
     engine_book.Suspicion.DRAINING: peers.FactKind.LEAVING,
 }
 """Kind of the fact that is published for a suspicion. Others are not published:
-peers learn of engines that are gone from the registry, and whether an engine
-refuses may depend on the node that asks."""
+the registry tells peers which engines are gone, and whether an engine refuses
+may depend on the node that asks."""
 
 
 class LostEngines:
--- a/tests/relay/test_catalogue.py
+++ b/tests/relay/test_catalogue.py
@@ -86,11 +86,11 @@
 
 def test_on_leaving_is_called_once() -> None:
     known = _catalogue()
-    told: list[str] = []
-    known.on_leaving.append(lambda engine: told.append(engine.instance))
+    reported: list[str] = []
+    known.on_leaving.append(lambda engine: reported.append(engine.instance))
     for revision, state in enumerate(["ready", "draining", "draining"]):
         known.take_engine_row(_row("i", _engine(state), revision), 0.0, AWAY)
-    assert told == ["i"]
+    assert reported == ["i"]
 
 
 def test_an_engine_with_an_unreadable_entry_gets_no_work() -> None:
@@ -115,5 +115,5 @@
     known = _catalogue()
     known.take_engine_row(_row("i", _engine()), 0.0, AWAY)
     known.take_engine_row(_row("i", later, 2), 0.0, AWAY)
-    told = [r.reason for r in caplog.records if hasattr(r, "reason")]
-    assert told == [reason]
+    reported = [r.reason for r in caplog.records if hasattr(r, "reason")]
+    assert reported == [reason]
--- a/tests/relay/test_layer_keeper.py
+++ b/tests/relay/test_layer_keeper.py
@@ -44,17 +44,17 @@
 
     Attributes:
         silent: Engines that do not respond and do nothing.
-        placed: Orders that were sent, including those to silent engines.
-        taken: Orders that were executed.
-        on_placed: Called with each executed order.
+        orders_sent: Orders that were sent, including those to silent engines.
+        executed: Orders that were executed.
+        on_executed: Called with each executed order.
     """
 
     def __init__(self, clock: clocks.VirtualClock) -> None:
         self.clock = clock
         self.silent: set[str] = set()
-        self.placed: list[tuple[str, int, int]] = []
-        self.taken: list[tuple[str, int, int]] = []
-        self.on_placed = lambda instance, start, end: None
+        self.orders_sent: list[tuple[str, int, int]] = []
+        self.executed: list[tuple[str, int, int]] = []
+        self.on_executed = lambda instance, start, end: None
 
     async def place(
         self,
@@ -65,12 +65,12 @@
         expected_orders: int | None,
         timeout_s: float,
     ) -> path_engines.OrderAnswer:
-        self.placed.append((instance, start, end))
+        self.orders_sent.append((instance, start, end))
         if instance in self.silent:
             await self.clock.sleep(timeout_s)
             return path_engines.OrderAnswer(path_engines.OrderOutcome.UNKNOWN)
-        self.taken.append((instance, start, end))
-        self.on_placed(instance, start, end)
+        self.executed.append((instance, start, end))
+        self.on_executed(instance, start, end)
         return path_engines.OrderAnswer(path_engines.OrderOutcome.BEGUN)
 
     async def report(
@@ -100,7 +100,7 @@
     def __init__(self, held: dict[str, Held]) -> None:
         self.clock = clocks.VirtualClock()
         self.engines = FakeEngines(self.clock)
-        self.engines.on_placed = self.tell
+        self.engines.on_executed = self.set_layers
         decoders = catalogue.Decoders(
             decode.decode_config, decode.decode_engine
         )
@@ -123,9 +123,9 @@
         self.known.on_engine.append(self.keeper.engine_changed)
         self.known.on_gone.append(self.keeper.engine_gone)
         for instance, layers in held.items():
-            self.tell(instance, *(layers or (0, 0)))
+            self.set_layers(instance, *(layers or (0, 0)))
 
-    def tell(self, instance: str, start: int, end: int) -> None:
+    def set_layers(self, instance: str, start: int, end: int) -> None:
         """Updates the layers of an engine in the registry."""
         entry = {
             "service": standin_system.MODEL_SERVICE,
@@ -135,13 +135,13 @@
             "kind": "big",
             "layers": {"from": start, "to": end},
         }
-        self.take(instance, json.dumps(entry).encode())
+        self.apply_row(instance, json.dumps(entry).encode())
 
-    def lose(self, instance: str) -> None:
+    def remove_engine(self, instance: str) -> None:
         """Removes an engine from the registry."""
-        self.take(instance, None)
+        self.apply_row(instance, None)
 
-    def take(self, instance: str, value: bytes | None) -> None:
+    def apply_row(self, instance: str, value: bytes | None) -> None:
         self.revision += 1
         row = row_feeds.FeedRow(instance, value, self.revision)
         self.known.take_engine_row(row, self.clock.now, AWAY)
@@ -187,10 +187,10 @@
     """
     fleet = _fleet()
     fleet.engines.silent.add("s0")
-    fleet.lose("e1")
+    fleet.remove_engine("e1")
     assert fleet.missing() == list(range(27, 54))
     await fleet.run(1.5)
-    assert "s0" in {instance for instance, _, _ in fleet.engines.placed}
+    assert "s0" in {instance for instance, _, _ in fleet.engines.orders_sent}
     assert fleet.missing() == []
 
 
@@ -206,10 +206,10 @@
     """
     fleet = _fleet()
     fleet.engines.silent.add("s0")
-    fleet.lose("e1")
+    fleet.remove_engine("e1")
     await fleet.run(6.0)
-    [ordered] = {o for o in fleet.engines.placed if o[0] == "s0"}
-    fleet.tell(*ordered)
+    [ordered] = {o for o in fleet.engines.orders_sent if o[0] == "s0"}
+    fleet.set_layers(*ordered)
     assert fleet.missing() == []
 
 
@@ -222,13 +222,13 @@
     """
     fleet = _fleet()
     fleet.engines.silent.add("s0")
-    fleet.lose("e1")
+    fleet.remove_engine("e1")
     await fleet.run(2.0)
     fleet.engines.silent.clear()
     await fleet.run(2.0)
-    sent = [order for order in fleet.engines.placed if order[0] == "s0"]
+    sent = [order for order in fleet.engines.orders_sent if order[0] == "s0"]
     assert sent[0] == sent[1]
-    assert sent[0] in fleet.engines.taken
+    assert sent[0] in fleet.engines.executed
 
 
 @asynchronous.run
@@ -240,8 +240,8 @@
     """
     fleet = _fleet()
     fleet.engines.silent.update(fleet.known.engines)
-    fleet.lose("e1")
+    fleet.remove_engine("e1")
     await fleet.run(1.0)
-    first = set(fleet.engines.placed)
+    first = set(fleet.engines.orders_sent)
     await fleet.run(2.5)
-    assert first and set(fleet.engines.placed) == first
+    assert first and set(fleet.engines.orders_sent) == first
--- a/tests/relay/test_lifetimes.py
+++ b/tests/relay/test_lifetimes.py
@@ -96,13 +96,13 @@
     new one.
     """
     known = _catalogue()
-    told: list[tuple[str, str]] = []
+    calls_made: list[tuple[str, str]] = []
 
     def note(
         what: str,
     ) -> Any:
         def callback(engine: registered_engines.RegisteredEngine) -> None:
-            told.append((what, engine.instance))
+            calls_made.append((what, engine.instance))
 
         return callback
 
@@ -111,7 +111,7 @@
     known.on_engine.append(note("engine"))
     known.take_engine_row(_row("i", _born(5)), 0.0, AWAY)
     known.take_engine_row(_row("i", _born(9, layers=None), 2), 0.0, AWAY)
-    assert told == [
+    assert calls_made == [
         ("engine", "i@5"),
         ("restarted", "i@5"),
         ("gone", "i@5"),
--- a/tests/relay/test_lost_engines.py
+++ b/tests/relay/test_lost_engines.py
@@ -70,21 +70,21 @@
     """A group that records published facts.
 
     Attributes:
-        told: Keys that some node already publishes.
+        already_published: Keys that some node already publishes.
         sent: Keys that this node published.
     """
 
     name = "n1"
 
-    def __init__(self, told: set[str]) -> None:
-        self.told = told
+    def __init__(self, already_published: set[str]) -> None:
+        self.already_published = already_published
         self.sent: list[str] = []
 
     def subscribe_facts(self, kind: peers.FactKind, callback: Any) -> None:
         assert kind is peers.FactKind.ENGINE_LOST
 
     def is_published(self, kind: peers.FactKind, key: str) -> bool:
-        return key in self.told
+        return key in self.already_published
 
     def publish_fact(
         self, kind: peers.FactKind, key: str, value: bytes, ttl_s: float
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize(
-    ("reason", "told", "sent"),
+    ("reason", "already_published", "sent"),
     [
         ("unreachable", set(), ["e"]),
         ("stalled", set(), ["e"]),
@@ -105,10 +105,10 @@
 )
 @asynchronous.run
 async def test_suspicions_that_peers_can_check_are_published_once(
-    reason: str, told: set[str], sent: list[str]
+    reason: str, already_published: set[str], sent: list[str]
 ) -> None:
     """Load: 200 nodes find the same seven engines dead within a second."""
-    lost, group = _lost(told)
+    lost, group = _lost(already_published)
     for _ in range(3):
         lost.suspect("e", engine_book.Suspicion(reason))
     assert group.sent == sent
@@ -122,7 +122,7 @@
         ("n2", True, True, 0),
         ("n2", False, False, 0),
     ],
-    ids=["news", "own word", "known dead", "not registered"],
+    ids=["new report", "own report", "known dead", "not registered"],
 )
 @asynchronous.run
 async def test_only_new_reports_trigger_a_query(
@@ -153,13 +153,15 @@
         self.engines: dict[str, Any] = {}
 
 
-def _lost(told: set[str]) -> tuple[lost_engines.LostEngines, FakeGroup]:
+def _lost(
+    already_published: set[str],
+) -> tuple[lost_engines.LostEngines, FakeGroup]:
     registry: Any = FakeCatalogue()
     seen: Any = FakeObserver()
     made = lost_engines.create_lost_engines(
         network.ManualClock(), registry, engine_book.EngineBook(), seen
     )
-    group = FakeGroup(told)
+    group = FakeGroup(already_published)
     joined: Any = group
     made.join(joined)
     return made, group
