--- a/src/almondshift/coordination/__init__.py
+++ b/src/almondshift/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""Coordination parts that other programs can embed."""
+"""Coordination between nodes; other programs can embed these modules."""
--- a/src/almondshift/coordination/claim_attempts.py
+++ b/src/almondshift/coordination/claim_attempts.py
@@ -1,4 +1,4 @@
-"""What a claimant remembers of its own attempts."""
+"""In-memory record of the attempts that this process has made."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 class ClaimantAnswer(enum.StrEnum):
-    """A claimant's answer about one of its attempts.
+    """A claimant's answer to a query about one of its attempts.
 
-    ``ABANDONED`` means that it was not dispatched and never will be.
-    ``UNKNOWN`` also stands for a claimant that can't be reached.
+    ``ABANDONED`` means that the attempt was not dispatched and never will be.
+    ``UNKNOWN`` is also used if the claimant can't be reached.
     """
 
     RUNNING = "running"
@@ -19,35 +19,36 @@
 
 
 class Attempts:
-    """Attempts of this process; forgets old abandoned ones.
+    """Attempts of this process; the oldest abandoned ones are evicted.
 
-    A process that restarted, or forgot, answers ``UNKNOWN``: it can't tell
-    whether the attempt was dispatched, and a second run can't be undone.
+    After a restart or an eviction the answer is ``UNKNOWN``: the process
+    can't tell whether the attempt was dispatched, and a second run can't be
+    undone.
     """
 
-    def __init__(self, remembered: int) -> None:
-        self.remembered = remembered
+    def __init__(self, max_abandoned: int) -> None:
+        self.max_abandoned = max_abandoned
         self.live: set[str] = set()
         self.abandoned: collections.OrderedDict[str, None]
         self.abandoned = collections.OrderedDict()
 
     def begin(self, attempt: str) -> None:
-        """Notes an attempt that may be dispatched from now on."""
+        """Records an attempt that may be dispatched from now on."""
         self.live.add(attempt)
 
     def abandon(self, attempt: str) -> None:
-        """Notes that an attempt was not and will not be dispatched."""
+        """Records that an attempt was not and will not be dispatched."""
         self.live.discard(attempt)
         self.abandoned[attempt] = None
-        while len(self.abandoned) > self.remembered:
+        while len(self.abandoned) > self.max_abandoned:
             self.abandoned.popitem(last=False)
 
     def end(self, attempt: str) -> None:
-        """Forgets an attempt whose result is stored."""
+        """Removes an attempt whose result is stored."""
         self.live.discard(attempt)
 
     def answer(self, attempt: str) -> ClaimantAnswer:
-        """Answers a peer about an attempt."""
+        """Answers a peer's query about an attempt."""
         if attempt in self.live:
             return ClaimantAnswer.RUNNING
         if attempt in self.abandoned:
--- a/src/almondshift/coordination/claim_results.py
+++ b/src/almondshift/coordination/claim_results.py
@@ -1,4 +1,4 @@
-"""Stores the results of claimed requests, and reads them for repeats."""
+"""Stores the results of claimed requests and reads them for retries."""
 
 from __future__ import annotations
 
@@ -19,24 +19,25 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ResultSettings:
-    """Bounds of stored results.
+    """Limits for stored results.
 
     Attributes:
-        inline_bytes: Larger results go to the object store.
-        unsaved: Results kept in memory while the store is away.
-        write_attempts: Times that a result is written before it waits.
-        write_wait_s: Seconds before writing again; doubles each time.
+        max_inline_bytes: Larger results go to the object store.
+        max_pending: Most results kept in memory while the store is
+            unavailable.
+        write_attempts: Write attempts before a result is left to ``flush``.
+        write_backoff_s: Seconds before the next attempt; doubles each time.
     """
 
-    inline_bytes: int = 4096
-    unsaved: int = 1000
+    max_inline_bytes: int = 4096
+    max_pending: int = 1000
     write_attempts: int = 4
-    write_wait_s: float = 0.02
+    write_backoff_s: float = 0.02
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Unsaved:
-    """A result that the store has not taken yet, and its claim."""
+class PendingResult:
+    """A result that is not stored yet, and its claim."""
 
     key: str
     row: claim_rows.ClaimRow
@@ -44,11 +45,11 @@
     result: claim_rows.StoredResult
 
 
-class ResultKeeper:
-    """Keeps results in memory until the store has them.
+class ResultWriter:
+    """Writes results, and keeps them in memory until they are stored.
 
     Attributes:
-        unsaved: Results that the store has not taken yet, by claim key.
+        pending: Results that are not stored yet, by claim key.
     """
 
     def __init__(
@@ -64,27 +65,27 @@
         self.clock = clock
         self.attempts = attempts
         self.settings = settings
-        self.unsaved: collections.OrderedDict[str, Unsaved]
-        self.unsaved = collections.OrderedDict()
+        self.pending: collections.OrderedDict[str, PendingResult]
+        self.pending = collections.OrderedDict()
 
     async def store_result(
-        self, unsaved: Unsaved
+        self, pending: PendingResult
     ) -> expression.Result[None, errors.AlmondshiftError]:
-        """Stores a result, or keeps it for ``flush`` and says why."""
-        wait_s = self.settings.write_wait_s
-        self._keep(unsaved)
+        """Stores a result; on an error keeps it in memory for ``flush``."""
+        wait_s = self.settings.write_backoff_s
+        self._add_pending(pending)
         for _ in range(self.settings.write_attempts):
-            saved = await self._save_or_drop(unsaved)
-            if unsaved.key not in self.unsaved:
+            saved = await self._save_or_drop(pending)
+            if pending.key not in self.pending:
                 return saved
             await self.clock.sleep(wait_s)
             wait_s *= 2
         return saved
 
     async def flush(self) -> None:
-        """Tries once to store each result that is not stored yet."""
-        for unsaved in list(self.unsaved.values()):
-            await self._save_or_drop(unsaved)
+        """Tries once to store each pending result."""
+        for pending in list(self.pending.values()):
+            await self._save_or_drop(pending)
 
     async def read_result(
         self, row: claim_rows.ClaimRow
@@ -93,7 +94,7 @@
         assert row.result is not None
         status, content_type = row.result.status, row.result.content_type
         if not row.result.object_key:
-            body = claim_rows.inline_body(row.result)
+            body = claim_rows.decode_inline_body(row.result)
             return expression.Ok(
                 claim_rows.StoredResult(status, content_type, body)
             )
@@ -105,76 +106,76 @@
         )
 
     async def _save_or_drop(
-        self, unsaved: Unsaved
+        self, pending: PendingResult
     ) -> expression.Result[None, errors.AlmondshiftError]:
-        """Saves, and forgets the result if no later try can change that."""
-        saved = await self._save(unsaved)
+        """Saves; drops the result once stored or if retrying is pointless."""
+        saved = await self._save(pending)
         if saved.is_ok() or isinstance(saved.error, errors.ConditionFailed):
-            self._forget(unsaved)
+            self._remove_pending(pending)
         return saved
 
     async def _save(
-        self, unsaved: Unsaved
+        self, pending: PendingResult
     ) -> expression.Result[None, errors.AlmondshiftError]:
-        stored = await self._store_body(unsaved)
+        stored = await self._store_body(pending)
         if stored.is_error():
             return expression.Error(stored.error)
         row = dataclasses.replace(
-            unsaved.row,
+            pending.row,
             state=claim_rows.ClaimState.FINISHED,
             result=stored.ok,
         )
-        write = claim_rows.write_claim(unsaved.key, row, unsaved.revision)
+        write = claim_rows.claim_write(pending.key, row, pending.revision)
         written = await self.store.transact([write])
         if written.is_ok():
             return expression.Ok(None)
         if isinstance(written.error, errors.ConditionFailed):
-            return await self._check_saved(unsaved, written.error)
+            return await self._check_already_saved(pending, written.error)
         return expression.Error(written.error)
 
     async def _store_body(
-        self, unsaved: Unsaved
+        self, pending: PendingResult
     ) -> expression.Result[claim_rows.ResultRow, errors.AlmondshiftError]:
-        result = unsaved.result
-        if len(result.body) <= self.settings.inline_bytes:
+        result = pending.result
+        if len(result.body) <= self.settings.max_inline_bytes:
             return expression.Ok(claim_rows.inline_result(result))
-        object_key = f"claims/{unsaved.key}/{unsaved.row.attempt}"
+        object_key = f"claims/{pending.key}/{pending.row.attempt}"
         put = await self.objects.put(object_key, result.body)
         if put.is_error():
             return expression.Error(put.error)
-        return expression.Ok(claim_rows.result_by_object(result, object_key))
+        return expression.Ok(claim_rows.object_result(result, object_key))
 
-    async def _check_saved(
-        self, unsaved: Unsaved, failure: errors.ConditionFailed
+    async def _check_already_saved(
+        self, pending: PendingResult, failure: errors.ConditionFailed
     ) -> expression.Result[None, errors.AlmondshiftError]:
-        """Finds out whether an earlier write had stored the result."""
-        read = await self.store.read(claim_rows.TABLE, unsaved.key)
+        """Checks whether an earlier write already stored the result."""
+        read = await self.store.read(claim_rows.TABLE, pending.key)
         if read.is_error():
             return expression.Error(read.error)
         if read.ok is None:
             return expression.Error(failure)
-        row = claim_rows.read_claim(read.ok)
+        row = claim_rows.parse_claim(read.ok)
         is_saved = row.state is claim_rows.ClaimState.FINISHED
-        if is_saved and row.attempt == unsaved.row.attempt:
+        if is_saved and row.attempt == pending.row.attempt:
             return expression.Ok(None)
         return expression.Error(failure)
 
-    def _keep(self, unsaved: Unsaved) -> None:
-        self.unsaved[unsaved.key] = unsaved
-        while len(self.unsaved) > self.settings.unsaved:
-            _, oldest = self.unsaved.popitem(last=False)
+    def _add_pending(self, pending: PendingResult) -> None:
+        self.pending[pending.key] = pending
+        while len(self.pending) > self.settings.max_pending:
+            _, oldest = self.pending.popitem(last=False)
             self.attempts.end(oldest.row.attempt)
 
-    def _forget(self, unsaved: Unsaved) -> None:
-        if self.unsaved.get(unsaved.key) is unsaved:
-            del self.unsaved[unsaved.key]
-        self.attempts.end(unsaved.row.attempt)
+    def _remove_pending(self, pending: PendingResult) -> None:
+        if self.pending.get(pending.key) is pending:
+            del self.pending[pending.key]
+        self.attempts.end(pending.row.attempt)
 
 
 def _result_unreadable() -> errors.StoreUnavailable:
     return errors.StoreUnavailable(
-        "The request ran; its result can't be read now.",
-        remedy="Ask again with the same Idempotency-Key.",
+        "The request ran, but its result can't be read at the moment.",
+        remedy="Retry with the same Idempotency-Key.",
         execution=errors.Execution.RAN,
         retry_after_s=1.0,
     )
--- a/src/almondshift/coordination/claim_rows.py
+++ b/src/almondshift/coordination/claim_rows.py
@@ -1,8 +1,8 @@
-"""Rows in which claims on non-idempotent requests are kept.
+"""Table rows that store claims on non-idempotent requests.
 
-A claim's key is a digest of account, service and idempotency key. Beside
-each claim an expiry row sorts by time, so that a sweep reads only what has
-expired.
+A claim's key is a digest of account, service and idempotency key. Each claim
+also has an expiry row, whose key sorts by expiry time, so that a sweep reads
+only expired claims.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class ClaimState(enum.StrEnum):
-    """How far a claimed request is."""
+    """State of a claimed request."""
 
     RUNNING = "running"
     FINISHED = "finished"
@@ -29,7 +29,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoredResult:
-    """The answer that repeats of a request get."""
+    """The response that retries of a request get."""
 
     status: int
     content_type: str
@@ -38,7 +38,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ResultRow:
-    """A result as the row keeps it: the body inline or as an object."""
+    """A result as stored in the row.
+
+    The body is inline (Base64) or in the object store under ``object_key``.
+    """
 
     status: int
     content_type: str
@@ -52,10 +55,10 @@
 
     Attributes:
         fingerprint: Digest of the request's body.
-        claimant: Node that may dispatch.
-        attempt: Random id of the attempt that may dispatch.
-        expires_at: Wall time in seconds; until then repeats are answered.
-        result: Present once finished.
+        claimant: Node that may dispatch the request.
+        attempt: Random id of the attempt that may dispatch it.
+        expires_at: Wall time in seconds until which retries are answered.
+        result: Set once the request has finished.
     """
 
     account: str
@@ -69,41 +72,41 @@
 
 
 def claim_key(account: str, service: str, idempotency_key: str) -> str:
-    """Returns the key of a claim's row."""
+    """Returns the row key of a claim."""
     parts = json.dumps([account, service, idempotency_key])
     return hashlib.sha256(parts.encode()).hexdigest()
 
 
 def fingerprint(body: bytes) -> str:
-    """Returns the digest by which bodies are compared."""
+    """Returns the digest used to compare request bodies."""
     return hashlib.sha256(body).hexdigest()
 
 
 def expiry_key(expires_at: float, attempt: str) -> str:
-    """Returns the key of an expiry row; keys sort by time."""
+    """Returns the key of an expiry row; keys sort by expiry time."""
     return f"{int(expires_at):012d}/{attempt}"
 
 
-def write_claim(key: str, claim: ClaimRow, revision: int) -> stores.Write:
-    """Returns the write of a claim from a revision."""
+def claim_write(key: str, claim: ClaimRow, revision: int) -> stores.Write:
+    """Returns a write of the claim, conditional on a revision."""
     return stores.Write(TABLE, key, dataclasses.asdict(claim), revision)
 
 
-def write_expiry(key: str, claim: ClaimRow, last: bool) -> stores.Write:
-    """Returns the write of a claim's expiry row.
+def expiry_write(key: str, claim: ClaimRow, last: bool) -> stores.Write:
+    """Returns a write of the claim's expiry row.
 
     Args:
         key: The claim's key.
         claim: The claim.
-        last: Whether the claim goes at this time even if unfinished.
+        last: Whether the claim is deleted at that time even if unfinished.
     """
     place = expiry_key(claim.expires_at, claim.attempt)
     value = {"claim": key, "attempt": claim.attempt, "last": last}
     return stores.Write(EXPIRY_TABLE, place, value, None)
 
 
-def read_claim(row: stores.Row) -> ClaimRow:
-    """Returns the claim that a row holds."""
+def parse_claim(row: stores.Row) -> ClaimRow:
+    """Parses the row of a claim."""
     value = row.value
     result = value["result"]
     return ClaimRow(
@@ -119,16 +122,16 @@
 
 
 def inline_result(result: StoredResult) -> ResultRow:
-    """Returns a result with its body in the row."""
+    """Returns a result row that holds the body inline."""
     body = base64.b64encode(result.body).decode()
     return ResultRow(result.status, result.content_type, body, "")
 
 
-def result_by_object(result: StoredResult, object_key: str) -> ResultRow:
-    """Returns a result whose body is an object."""
+def object_result(result: StoredResult, object_key: str) -> ResultRow:
+    """Returns a result row whose body is in the object store."""
     return ResultRow(result.status, result.content_type, "", object_key)
 
 
-def inline_body(result: ResultRow) -> bytes:
-    """Returns the body kept in the row."""
+def decode_inline_body(result: ResultRow) -> bytes:
+    """Decodes the inline body of a result row."""
     return base64.b64decode(result.body)
--- a/src/almondshift/coordination/claim_sweep.py
+++ b/src/almondshift/coordination/claim_sweep.py
@@ -19,10 +19,10 @@
 
 
 class ClaimSweep:
-    """Deletes what has expired, oldest first.
+    """Deletes expired claims, oldest first.
 
-    Any node may sweep at any time: every write is conditional. One at a
-    time is enough, e.g. the holder of a lease.
+    Any node may sweep at any time, since every write is conditional. One
+    sweeper at a time is enough, e.g. the holder of a lease.
     """
 
     def __init__(
@@ -40,11 +40,11 @@
     async def sweep(
         self,
     ) -> expression.Result[int, errors.AlmondshiftError]:
-        """Works off up to one batch of expired rows.
+        """Processes up to one batch of expired rows.
 
         Returns:
-            The number of expiry rows worked off; below the batch's size,
-            nothing more has expired.
+            The number of expiry rows processed; if it is below the batch
+            size, nothing more has expired.
         """
         found = await self.store.scan(claim_rows.EXPIRY_TABLE, "", self.batch)
         if found.is_error():
@@ -68,7 +68,7 @@
     def _claim_writes(
         self, expiry: stores.Row, row: stores.Row
     ) -> list[stores.Write]:
-        claim = claim_rows.read_claim(row)
+        claim = claim_rows.parse_claim(row)
         if claim.attempt != expiry.value["attempt"]:
             return []
         running = claim.state is claim_rows.ClaimState.RUNNING
@@ -76,7 +76,7 @@
             return [_delete(row)]
         later = claim.expires_at + self.unfinished_retention_s
         return [
-            claim_rows.write_expiry(
+            claim_rows.expiry_write(
                 row.key,
                 dataclasses.replace(claim, expires_at=later),
                 last=True,
--- a/src/almondshift/coordination/claims.py
+++ b/src/almondshift/coordination/claims.py
@@ -1,9 +1,9 @@
-"""At most one run of each non-idempotent request.
+"""At-most-once execution of non-idempotent requests.
 
-Before a request is dispatched its key is claimed by a conditional insert.
-Only the attempt that holds the claim dispatches; repeats get the stored
-result, wait for it, or hear that the outcome is unknown. A claim changes
-hands only if its claimant itself says that it never dispatched.
+Before a request is dispatched, its key is claimed by a conditional insert.
+Only the attempt that holds the claim is dispatched; retries get the stored
+result, wait for it, or get an error that the outcome is unknown. A claim is
+taken over only if its claimant itself answers that it never dispatched.
 """
 
 from __future__ import annotations
@@ -33,28 +33,28 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimSettings:
-    """Bounds and times of claims.
+    """Limits and timing of claims.
 
     Attributes:
-        retention_s: Seconds for which a key is kept; told to callers.
+        retention_s: Seconds for which a key is kept; callers are told this.
         unfinished_retention_s: Further seconds for claims without a result.
-        write_attempts: Times that a write of unknown outcome is settled.
-        write_wait_s: Seconds before settling again; doubles each time.
-        poll_s: Seconds between looks at a running claim; doubles.
-        longest_poll_s: Longest time between looks.
-        flush_s: Seconds between attempts to store these.
-        remembered: Abandoned attempts remembered for peers' questions.
-        results: Bounds of stored results.
+        write_attempts: Attempts to resolve a write of unknown outcome.
+        write_backoff_s: Seconds before the next attempt; doubles each time.
+        poll_s: Seconds before a running claim is read again; doubles.
+        max_poll_s: Longest time between these reads.
+        flush_s: Seconds between attempts to store pending results.
+        max_abandoned: Most abandoned attempts kept to answer peers.
+        results: Limits for stored results.
     """
 
     retention_s: float = 86_400.0
     unfinished_retention_s: float = 604_800.0
     write_attempts: int = 4
-    write_wait_s: float = 0.02
+    write_backoff_s: float = 0.02
     poll_s: float = 0.05
-    longest_poll_s: float = 0.8
+    max_poll_s: float = 0.8
     flush_s: float = 1.0
-    remembered: int = 10_000
+    max_abandoned: int = 10_000
     results: claim_results.ResultSettings = dataclasses.field(
         default_factory=claim_results.ResultSettings
     )
@@ -62,10 +62,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Claimed:
-    """The right to dispatch once, while ``Claims.may_dispatch`` says so.
+    """Permission to dispatch once, while ``Claims.may_dispatch`` is true.
 
     Attributes:
-        deadline: Monotonic seconds after which it must not be dispatched.
+        deadline: Monotonic seconds after which the request must not be
+            dispatched.
     """
 
     key: str
@@ -76,18 +77,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Finished:
-    """The request ran before; this is its result."""
+    """Result of a request that has already run."""
 
     result: claim_rows.StoredResult
 
 
 ClaimResult = expression.Result[Claimed | Finished, errors.AlmondshiftError]
 Decision = ClaimResult | None
-"""None means to look at the row again."""
+"""None if the row has to be read again."""
 
 
 class Claim:
-    """The state of one call of ``Claims.claim``."""
+    """State of one call to ``Claims.claim``."""
 
     def __init__(
         self, key: str, row: claim_rows.ClaimRow, deadline: float
@@ -96,9 +97,9 @@
         self.row = row
         self.deadline = deadline
         self.tries = 0
-        self.pause_s = 0.0
-        self.asked_revision = -1
-        self.saw_other = False
+        self.delay_s = 0.0
+        self.unanswered_revision = -1
+        self.saw_other_attempt = False
 
 
 class Claims:
@@ -121,23 +122,23 @@
         self.node = node
         self.ask = ask
         self.settings = settings
-        self.attempts = claim_attempts.Attempts(settings.remembered)
-        self.results = claim_results.ResultKeeper(
+        self.attempts = claim_attempts.Attempts(settings.max_abandoned)
+        self.results = claim_results.ResultWriter(
             store, objects, clock, self.attempts, settings.results
         )
-        self.flusher: asyncio.Task[None] | None = None
+        self.flush_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Starts to store results that could not be stored at once."""
-        self.flusher = asyncio.create_task(self._flush_loop())
+        """Starts the task that retries storing pending results."""
+        self.flush_task = asyncio.create_task(self._flush_loop())
 
     async def close(self) -> None:
-        """Tries once more to store results, then stops."""
-        if self.flusher is not None:
-            self.flusher.cancel()
+        """Stops that task and tries once more to store pending results."""
+        if self.flush_task is not None:
+            self.flush_task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
-                await self.flusher
-            self.flusher = None
+                await self.flush_task
+            self.flush_task = None
         await self.flush()
 
     async def claim(
@@ -148,21 +149,22 @@
         body: bytes,
         deadline: float,
     ) -> ClaimResult:
-        """Claims a request, or gets the result of its earlier run.
+        """Claims a request, or returns the result of its earlier run.
 
         Args:
             account: Client account.
             service: Service name.
             idempotency_key: The caller's key.
-            body: Request body; a repeat must have the same.
+            body: Request body; a retry must have the same body.
             deadline: Monotonic seconds until which to wait for an earlier
-                run, and after which a claim may not be dispatched.
+                run, and after which a claim must not be dispatched.
 
         Returns:
-            ``Claimed`` to dispatch now, or ``Finished``. Errors:
-            ``IdempotencyKeyReused``; ``StoreUnavailable`` with ``not_run``
-            if this attempt was not and won't be dispatched;
-            ``OutcomeUnknown`` if an earlier one may have been.
+            ``Claimed`` if the request is to be dispatched now, or
+            ``Finished``. Errors: ``IdempotencyKeyReused``;
+            ``StoreUnavailable`` with ``not_run`` if this attempt was not and
+            won't be dispatched; ``OutcomeUnknown`` if an earlier one may
+            have been.
         """
         key = claim_rows.claim_key(account, service, idempotency_key)
         row = claim_rows.ClaimRow(
@@ -179,8 +181,8 @@
     def may_dispatch(self, claimed: Claimed) -> bool:
         """Returns whether the claimed request may be dispatched right now.
 
-        Ask right before dispatch: a process that was paused past the
-        deadline learns of it only here.
+        Call it immediately before dispatch: only this check notices that
+        the process was paused past the deadline.
         """
         in_time = self.clock.monotonic() < claimed.deadline
         return in_time and claimed.row.attempt in self.attempts.live
@@ -188,14 +190,14 @@
     async def finish(
         self, claimed: Claimed, result: claim_rows.StoredResult
     ) -> expression.Result[None, errors.AlmondshiftError]:
-        """Stores the result for repeats.
+        """Stores the result for retries.
 
-        An unknown outcome is a result too: finish with the answer that the
-        caller got, so that repeats get the same. If the store does not take
-        it, it is kept in memory and stored later.
+        An unknown outcome is a result too: pass the response that the caller
+        got, so that retries get the same one. If the store is unavailable,
+        the result is kept in memory and stored later.
         """
         return await self.results.store_result(
-            claim_results.Unsaved(
+            claim_results.PendingResult(
                 claimed.key, claimed.row, claimed.revision, result
             )
         )
@@ -203,35 +205,35 @@
     async def release_not_run(
         self, claimed: Claimed
     ) -> expression.Result[None, errors.AlmondshiftError]:
-        """Gives a claim back; only if the endpoint provably ran nothing.
+        """Releases a claim; only if the endpoint definitely ran nothing.
 
-        The claim can be taken again even if this fails, since this node
-        then answers that it abandoned the attempt.
+        Even if the write fails, another node can take over the claim, since
+        this node answers from now on that it abandoned the attempt.
         """
         self.attempts.abandon(claimed.row.attempt)
         row = dataclasses.replace(
             claimed.row, state=claim_rows.ClaimState.NOT_RUN
         )
-        write = claim_rows.write_claim(claimed.key, row, claimed.revision)
+        write = claim_rows.claim_write(claimed.key, row, claimed.revision)
         written = await self.store.transact([write])
         if written.is_error():
             return expression.Error(written.error)
         return expression.Ok(None)
 
     def answer_claimant(self, attempt: str) -> claim_attempts.ClaimantAnswer:
-        """Answers a peer's question about an attempt of this node."""
+        """Answers a peer's query about an attempt of this node."""
         return self.attempts.answer(attempt)
 
     async def flush(self) -> None:
-        """Tries once to store each result that is not stored yet."""
+        """Tries once to store each pending result."""
         await self.results.flush()
 
     async def _claim(self, claim: Claim) -> ClaimResult:
-        """Decides, and abandons the attempt unless it holds the claim.
+        """Makes the attempt, and abandons it unless it holds the claim.
 
-        The attempt counts as live from before its insert is sent, so that
-        no peer hears ``abandoned`` of one that may still be dispatched, and
-        as abandoned on every other way out, a cancelled caller included.
+        The attempt is registered before its insert is sent, so that no peer
+        is told ``abandoned`` of one that may still be dispatched. On every
+        other exit path, including cancellation, it is marked abandoned.
         """
         self.attempts.begin(claim.row.attempt)
         result: ClaimResult | None = None
@@ -244,99 +246,100 @@
 
     async def _decide(self, claim: Claim) -> ClaimResult:
         while True:
-            decision = await self._look(claim)
+            decision = await self._check_row(claim)
             if decision is not None:
                 return decision
             left_s = claim.deadline - self.clock.monotonic()
             if left_s <= 0.0:
-                return expression.Error(_out_of_time(claim))
-            if claim.pause_s > 0.0:
-                await self.clock.sleep(min(claim.pause_s, left_s))
+                return expression.Error(_deadline_error(claim))
+            if claim.delay_s > 0.0:
+                await self.clock.sleep(min(claim.delay_s, left_s))
 
-    async def _look(self, claim: Claim) -> Decision:
-        """Reads the row and decides, or asks to look again."""
+    async def _check_row(self, claim: Claim) -> Decision:
+        """Reads the row and decides; None to read it again."""
         read = await self.store.read(claim_rows.TABLE, claim.key)
         if read.is_error():
-            return self._without_store(claim)
+            return self._store_unavailable(claim)
         if read.ok is None:
-            return await self._write(claim, stores.ABSENT)
-        row = claim_rows.read_claim(read.ok)
+            return await self._write_claim(claim, stores.ABSENT)
+        row = claim_rows.parse_claim(read.ok)
         if row.attempt == claim.row.attempt:
             return self._claimed(claim, read.ok.revision)
         if row.fingerprint != claim.row.fingerprint:
             return expression.Error(
                 errors.IdempotencyKeyReused(
-                    "The key came before with another body."
+                    "The key was used before with a different body."
                 )
             )
         if row.state is claim_rows.ClaimState.FINISHED:
             return await self._finished(row)
         if row.state is claim_rows.ClaimState.NOT_RUN:
-            return await self._write(claim, read.ok.revision)
-        return await self._running(claim, row, read.ok.revision)
+            return await self._write_claim(claim, read.ok.revision)
+        return await self._check_claimant(claim, row, read.ok.revision)
 
-    async def _running(
+    async def _check_claimant(
         self, claim: Claim, row: claim_rows.ClaimRow, revision: int
     ) -> Decision:
-        """Asks the claimant what became of a claim without a result.
+        """Asks the claimant about a claim that has no result yet.
 
-        Taking over a claim because its claimant is silent would run the
-        request twice if the claimant is only slow. Only its own word that
-        it never dispatches counts, and the write from this very revision.
+        Taking over because the claimant does not answer would run the
+        request twice if the claimant is only slow. The claim is taken over
+        only if the claimant answers that it will never dispatch, by a write
+        that is conditional on the revision read before.
         """
-        claim.saw_other = True
-        unsaved = self.results.unsaved.get(claim.key)
-        if unsaved is not None:
-            return expression.Ok(Finished(unsaved.result))
-        if claim.asked_revision == revision:
-            return expression.Error(_claimant_silent(row))
-        answer = await self._ask(row)
+        claim.saw_other_attempt = True
+        pending = self.results.pending.get(claim.key)
+        if pending is not None:
+            return expression.Ok(Finished(pending.result))
+        if claim.unanswered_revision == revision:
+            return expression.Error(_claimant_unknown(row))
+        answer = await self._ask_claimant(row)
         if answer is claim_attempts.ClaimantAnswer.ABANDONED:
-            claim.saw_other = False
-            return await self._write(claim, revision)
+            claim.saw_other_attempt = False
+            return await self._write_claim(claim, revision)
         if answer is claim_attempts.ClaimantAnswer.RUNNING:
-            claim.pause_s = self._next_pause(claim.pause_s)
+            claim.delay_s = self._next_poll_delay(claim.delay_s)
             return None
-        claim.asked_revision = revision
-        claim.pause_s = 0.0
+        claim.unanswered_revision = revision
+        claim.delay_s = 0.0
         return None
 
-    async def _ask(
+    async def _ask_claimant(
         self, row: claim_rows.ClaimRow
     ) -> claim_attempts.ClaimantAnswer:
         if row.claimant == self.node:
             return self.attempts.answer(row.attempt)
         return await self.ask(row.claimant, row.attempt)
 
-    async def _write(self, claim: Claim, revision: int) -> Decision:
-        """Writes the claim from a revision; looks again if unsure.
+    async def _write_claim(self, claim: Claim, revision: int) -> Decision:
+        """Writes the claim, conditional on a revision; None to read again.
 
-        The answer may be lost after the insert took effect. Looking again
-        finds the own attempt in the row, or writes again from the revision
-        it finds; the condition keeps a second write from doing harm.
+        The answer may be lost after the write took effect. Reading again
+        finds this attempt in the row, or leads to another write from the
+        revision found; since it is conditional, a second write is harmless.
         """
         writes = [
-            claim_rows.write_claim(claim.key, claim.row, revision),
-            claim_rows.write_expiry(claim.key, claim.row, last=False),
+            claim_rows.claim_write(claim.key, claim.row, revision),
+            claim_rows.expiry_write(claim.key, claim.row, last=False),
         ]
         written = await self.store.transact(writes)
         if written.is_ok():
             return self._claimed(claim, written.ok[0])
         if isinstance(written.error, errors.StoreUnavailable):
-            return self._without_store(claim)
-        claim.pause_s = 0.0
+            return self._store_unavailable(claim)
+        claim.delay_s = 0.0
         if isinstance(written.error, errors.ConditionFailed):
             return None
         claim.tries += 1
         if claim.tries >= self.settings.write_attempts:
-            return self._without_store(claim)
-        claim.pause_s = self.settings.write_wait_s * 2**claim.tries
+            return self._store_unavailable(claim)
+        claim.delay_s = self.settings.write_backoff_s * 2**claim.tries
         return None
 
     def _claimed(self, claim: Claim, revision: int) -> ClaimResult:
         if self.clock.monotonic() >= claim.deadline:
             return expression.Error(
-                errors.DeadlinePast("The claim came after the deadline.")
+                errors.DeadlinePast("The key was claimed after the deadline.")
             )
         return expression.Ok(
             Claimed(claim.key, claim.row, revision, claim.deadline)
@@ -348,22 +351,22 @@
             return expression.Error(result.error)
         return expression.Ok(Finished(result.ok))
 
-    def _without_store(self, claim: Claim) -> ClaimResult:
-        unsaved = self.results.unsaved.get(claim.key)
-        if unsaved is not None:
-            if unsaved.row.fingerprint == claim.row.fingerprint:
-                return expression.Ok(Finished(unsaved.result))
+    def _store_unavailable(self, claim: Claim) -> ClaimResult:
+        pending = self.results.pending.get(claim.key)
+        if pending is not None:
+            if pending.row.fingerprint == claim.row.fingerprint:
+                return expression.Ok(Finished(pending.result))
             return expression.Error(
                 errors.IdempotencyKeyReused(
-                    "The key came before with another body."
+                    "The key was used before with a different body."
                 )
             )
-        if claim.saw_other:
+        if claim.saw_other_attempt:
             return expression.Error(
                 errors.OutcomeUnknown(
                     "An earlier request with this key may have run, and the "
-                    "platform's store can't be read now.",
-                    remedy="Ask again with the same Idempotency-Key.",
+                    "platform's store is unavailable.",
+                    remedy="Retry with the same Idempotency-Key.",
                     retry_after_s=1.0,
                 )
             )
@@ -371,16 +374,16 @@
             errors.StoreUnavailable(
                 "The key could not be claimed, so this request was not run.",
                 remedy=(
-                    "Ask again with the same Idempotency-Key; with another "
-                    "key an earlier request with this one could run twice."
+                    "Retry with the same Idempotency-Key; with another key "
+                    "the request could run twice if an earlier one ran."
                 ),
                 retry_after_s=1.0,
             )
         )
 
-    def _next_pause(self, pause_s: float) -> float:
-        doubled = max(2 * pause_s, self.settings.poll_s)
-        longest = min(doubled, self.settings.longest_poll_s)
+    def _next_poll_delay(self, delay_s: float) -> float:
+        doubled = max(2 * delay_s, self.settings.poll_s)
+        longest = min(doubled, self.settings.max_poll_s)
         return longest * self.rng.uniform(0.75, 1.0)
 
     async def _flush_loop(self) -> None:
@@ -395,23 +398,23 @@
     )
 
 
-def _out_of_time(claim: Claim) -> errors.AlmondshiftError:
-    if claim.saw_other:
+def _deadline_error(claim: Claim) -> errors.AlmondshiftError:
+    if claim.saw_other_attempt:
         return errors.OutcomeUnknown(
             "An earlier request with this key is still running.",
-            remedy="Ask again with the same Idempotency-Key.",
+            remedy="Retry with the same Idempotency-Key.",
             retry_after_s=1.0,
         )
-    return errors.DeadlinePast("The key was not claimed in time.")
+    return errors.DeadlinePast("The key was not claimed before the deadline.")
 
 
-def _claimant_silent(row: claim_rows.ClaimRow) -> errors.OutcomeUnknown:
+def _claimant_unknown(row: claim_rows.ClaimRow) -> errors.OutcomeUnknown:
     return errors.OutcomeUnknown(
-        f"Node {row.claimant} took this request and can't say what became "
-        "of it.",
+        f"Node {row.claimant} accepted this request, and its outcome is not "
+        "known.",
         remedy=(
-            "Ask again later with the same Idempotency-Key, and check the "
-            "effect before sending with a new key."
+            "Retry later with the same Idempotency-Key, and check whether the "
+            "request took effect before sending it with a new key."
         ),
     )
 
@@ -428,13 +431,13 @@
     """Creates the claims of a node.
 
     Args:
-        store: Table of the claims, as a rule a ``GroupedTableStore``.
-        objects: Where large results go.
+        store: Table store for the claims, usually a ``GroupedTableStore``.
+        objects: Object store for large results.
         clock: Monotonic time for deadlines, wall time for expiry.
-        rng: Draws the attempts' ids; must differ between processes.
-        node: Name of this node, as ``ask`` of others knows it.
-        ask: Asks the node of the first argument about the attempt of the
-            second; ``UNKNOWN`` if it can't be reached in time.
+        rng: Generates attempt ids; must differ between processes.
+        node: Name of this node, by which peers' ``ask`` reaches it.
+        ask: Called with a node and an attempt; asks that node about the
+            attempt. ``UNKNOWN`` if it can't be reached in time.
         settings: None for the defaults.
     """
     return Claims(
