--- a/src/almondshift/coordination/drain.py
+++ b/src/almondshift/coordination/drain.py
@@ -1,15 +1,17 @@
-"""The graceful stop of a node, as a state machine on the clock.
-
-A caller that asked which address to use keeps the answer for a while. So a
-node that stops is first left out of that answer and goes on accepting until
-every such answer is old; only then it refuses, saying that nothing was run
-and where to go; then it waits for what is in flight. If it refused at once,
-callers would meet errors on an address that they were given a second ago.
-What most likely can't end before the node does is refused at once all the
-same: an error now costs its caller less than a part of an answer later.
-
-Work that is longer than the grace time is handed to a hook, which gives the
-caller a final error; a stream that just breaks looks like an answer to come.
+"""Graceful drain of a node, as a state machine driven by the clock.
+
+Callers cache the addresses from /v1/entries for a while. So a node that stops
+is first removed from that list and keeps accepting requests until every cached
+list has expired. Only then does it refuse requests, with an error that nothing
+was run and where to retry, and waits for requests in flight. If it refused at
+once, callers would get errors from an address that they were given a second
+ago. A request that will most likely not finish before the node closes is
+refused immediately in any case: an error now costs its caller less than a
+partial response later.
+
+Requests that outlast the grace time are passed to a hook, which sends the
+caller a final error. If a stream just broke off, its caller would keep waiting
+for the rest.
 """
 
 from __future__ import annotations
@@ -32,11 +34,11 @@
     from almondshift.ports import clocks
 
     Announce = Callable[[], Awaitable[None]]
-    GiveFinalError = Callable[[str, errors.AlmondshiftError], None]
+    SendFinalError = Callable[[str, errors.AlmondshiftError], None]
 
 
 class DrainState(enum.StrEnum):
-    """How far the stop of a node has come."""
+    """Phase of the drain of a node."""
 
     SERVING = "serving"
     ANNOUNCED = "announced"
@@ -46,16 +48,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DrainSettings:
-    """Times of a graceful stop.
+    """Timing of a graceful drain.
 
     Attributes:
-        hold_s: How long a caller may keep the answer of /v1/entries.
-        margin_s: Added to it for the way of the announcement to the peers.
-        grace_s: Time from the announcement until what still runs is given
-            up; counted from there, since the platform counts from there.
+        hold_s: How long a caller may cache the response of /v1/entries.
+        margin_s: Added to it for the propagation of the announcement.
+        grace_s: Time from the announcement until requests that still run are
+            aborted; the platform's own grace period starts then too.
         announce_s: Longest wait for the announcement.
         final_error_s: Time for final errors to reach callers.
-        poll_s: How often to look whether all has ended.
+        poll_s: Interval at which to check whether all requests have ended.
     """
 
     hold_s: float = 5.0
@@ -68,27 +70,27 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DrainReport:
-    """How a stop ended.
+    """Result of a drain.
 
     Attributes:
-        seconds: From the announcement to the end.
+        seconds: Time from the announcement to the end.
         finished: Requests that ended in that time.
         refused: Requests refused.
-        cut: Ids of requests that were given a final error.
+        aborted: Ids of requests that were sent a final error.
     """
 
     seconds: float
     finished: int
     refused: int
-    cut: tuple[str, ...]
+    aborted: tuple[str, ...]
 
 
 class Drain:
-    """Which requests a node takes, and when it may close.
+    """Decides which requests a node accepts and when it may close.
 
     Attributes:
-        state: How far the stop has come.
-        in_flight: Requests that run, by id, with the time they began.
+        state: Phase of the drain.
+        in_flight: Start times of running requests, by id.
     """
 
     def __init__(
@@ -96,22 +98,22 @@
         clock: clocks.Clock,
         settings: DrainSettings,
         announce: Announce,
-        give_final_error: GiveFinalError,
+        send_final_error: SendFinalError,
     ) -> None:
         self.clock = clock
         self.settings = settings
         self.announce = announce
-        self.give_final_error = give_final_error
+        self.send_final_error = send_final_error
         self.state = DrainState.SERVING
         self.in_flight: dict[str, float] = {}
         self.announced_at = 0.0
-        self.told_at = 0.0
+        self.peers_notified_at = 0.0
         self.finished = 0
         self.refused = 0
 
     @property
     def is_listed(self) -> bool:
-        """Whether /v1/entries may name this node."""
+        """Whether /v1/entries may list this node."""
         return self.state is DrainState.SERVING
 
     def begin(
@@ -120,88 +122,91 @@
         expected_s: float = 0.0,
         deadline: float = math.inf,
     ) -> expression.Result[None, errors.NodeLeaving]:
-        """Takes a request, or refuses it before anything is run.
+        """Accepts a request, or refuses it before anything is run.
 
         Args:
-            request_id: The request.
-            expected_s: Seconds that it will most likely take; 0.0 while
-                that is not known.
+            request_id: Id of the request.
+            expected_s: Seconds that it will most likely take; 0.0 if not
+                known.
             deadline: Monotonic time at which it ends in any case.
 
         Returns:
-            ``NodeLeaving`` with ``not_run`` once callers can know better,
-            and before that for what can't end before the node does.
+            ``NodeLeaving`` with ``not_run`` once no caller has this node's
+            address cached any more, and before that if the request can't
+            finish before the node closes.
         """
         if self.state in (DrainState.REFUSING, DrainState.CLOSED):
             return self.refuse("This node is shutting down.")
         now = self.clock.monotonic()
-        if self.is_too_late(min(now + expected_s, deadline)):
+        if self.ends_after_grace(min(now + expected_s, deadline)):
             return self.refuse("This node closes before the request ends.")
         self.in_flight[request_id] = now
         return expression.Ok(None)
 
-    def is_too_late(self, end: float) -> bool:
-        """Returns whether what ends then would be cut.
+    def ends_after_grace(self, end: float) -> bool:
+        """Returns whether a request that ends at this time would be aborted.
 
-        The hold time says how long callers may come, not that there is time
-        for what they bring. Without this look, a caller got a part of its
-        answer and an error that left open what had run. It is enough, as
-        what is taken ends by itself or by its deadline, as far as the
-        estimate is right; the rest gets the final error.
+        The hold time bounds how long callers may arrive, not how long their
+        requests take. Without this check, a caller got a partial response and
+        an error that left open what had run. If the estimate is right, an
+        accepted request ends by itself or by its deadline; otherwise it gets
+        the final error.
         """
-        return self.state is not DrainState.SERVING and end > self.gives_up_at()
+        return (
+            self.state is not DrainState.SERVING and end > self.grace_ends_at()
+        )
 
     def refuse(
         self, detail: str
     ) -> expression.Result[None, errors.NodeLeaving]:
-        """Refuses a request; nothing was run."""
+        """Counts a refused request and returns its error; nothing was run."""
         self.refused += 1
         return expression.Error(errors.NodeLeaving(detail))
 
     def end(self, request_id: str) -> None:
-        """Notes that a request ended, in whatever way."""
+        """Records that a request ended, successfully or not."""
         if self.in_flight.pop(request_id, None) is None:
             return
         if self.state is not DrainState.SERVING:
             self.finished += 1
 
     async def run(self) -> DrainReport:
-        """Stops the node gracefully; returns when it may close.
+        """Drains the node; returns when it may close.
 
         The caller closes the listeners afterwards.
         """
         self.announced_at = self.clock.monotonic()
         self.state = DrainState.ANNOUNCED
-        await self.announce_in_time()
-        self.told_at = self.clock.monotonic()
+        await self.announce_with_timeout()
+        self.peers_notified_at = self.clock.monotonic()
         await self.wait_until(self.refuses_at(), until_idle=False)
         self.state = DrainState.REFUSING
-        await self.wait_until(self.gives_up_at(), until_idle=True)
-        cut = tuple(sorted(self.in_flight))
-        await self.cut(cut)
+        await self.wait_until(self.grace_ends_at(), until_idle=True)
+        aborted = tuple(sorted(self.in_flight))
+        await self.abort(aborted)
         self.state = DrainState.CLOSED
         return DrainReport(
             seconds=self.clock.monotonic() - self.announced_at,
             finished=self.finished,
             refused=self.refused,
-            cut=cut,
+            aborted=aborted,
         )
 
     def refuses_at(self) -> float:
-        """Returns when no caller can hold this node's address any more.
+        """Returns when no caller can have this node's address cached.
 
-        Counted from when the peers were told: until then they went on
-        naming this node to callers.
+        Counted from when the peers were notified: until then they still
+        listed this node to callers.
         """
         held_s = self.settings.hold_s + self.settings.margin_s
-        return min(self.told_at + held_s, self.gives_up_at())
+        return min(self.peers_notified_at + held_s, self.grace_ends_at())
 
-    def gives_up_at(self) -> float:
-        """Returns when what still runs is given up."""
+    def grace_ends_at(self) -> float:
+        """Returns when requests that still run are aborted."""
         return self.announced_at + self.settings.grace_s
 
-    async def announce_in_time(self) -> None:
-        """Tells peers; one that does not answer must not hold the stop."""
+    async def announce_with_timeout(self) -> None:
+        """Notifies peers; an unresponsive one must not delay the drain."""
         telling = asyncio.ensure_future(self.announce())
         waiting = asyncio.ensure_future(
             self.clock.sleep(self.settings.announce_s)
@@ -214,16 +219,16 @@
         await asyncio.gather(telling, waiting, return_exceptions=True)
 
     async def wait_until(self, at: float, *, until_idle: bool) -> None:
-        """Waits for a time, or with ``until_idle`` for the last request."""
+        """Waits until a time, or with ``until_idle`` until all have ended."""
         while (left := at - self.clock.monotonic()) > 0:
             if until_idle and not self.in_flight:
                 return
             await self.clock.sleep(min(left, self.settings.poll_s))
 
-    async def cut(self, request_ids: tuple[str, ...]) -> None:
-        """Has a final error given to what is longer than the grace time."""
+    async def abort(self, request_ids: tuple[str, ...]) -> None:
+        """Sends a final error to the requests and waits for them to end."""
         for request_id in request_ids:
-            self.give_final_error(request_id, cut_error())
+            self.send_final_error(request_id, grace_expired_error())
         if not request_ids:
             return
         at = self.clock.monotonic() + self.settings.final_error_s
@@ -234,13 +239,13 @@
         return {"state": self.state.value, "in_flight": len(self.in_flight)}
 
 
-def cut_error() -> errors.NodeLeaving:
-    """Returns the error of a request that the grace time cut off."""
+def grace_expired_error() -> errors.NodeLeaving:
+    """Returns the error of a request that outlasted the grace time."""
     return errors.NodeLeaving(
         "The node closed before the request ended.",
         remedy=(
-            "Send the request again through another address, if it may be "
-            "repeated; operators: raise the grace time."
+            "Retry through another address if the request may be repeated; "
+            "operators: raise the grace time."
         ),
         execution=errors.Execution.UNKNOWN,
     )
@@ -250,15 +255,15 @@
     clock: clocks.Clock,
     settings: DrainSettings,
     announce: Announce,
-    give_final_error: GiveFinalError,
+    send_final_error: SendFinalError,
 ) -> Drain:
     """Creates the drain of a serving node.
 
     Args:
         clock: Source of time.
-        settings: Times.
-        announce: Tells peers that this node is leaving.
-        give_final_error: Called with the id of each request that is still
-            running at the end of the grace time, and the error to give.
+        settings: Timing of the drain.
+        announce: Notifies peers that this node is leaving.
+        send_final_error: Called with the id of each request that is still
+            running at the end of the grace time, and the error to send.
     """
-    return Drain(clock, settings, announce, give_final_error)
+    return Drain(clock, settings, announce, send_final_error)
--- a/src/almondshift/coordination/grouped_writes.py
+++ b/src/almondshift/coordination/grouped_writes.py
@@ -1,10 +1,10 @@
-"""A table store that commits waiting transactions together.
+"""A table store that commits waiting transactions together (group commit).
 
-While a transaction is on its way, others wait; the next one takes all of
-them. So a store that serves a few hundred writes a second carries more
-transactions than that, and a lone transaction waits for nothing. Each
-caller gets the outcome of its own writes: if the condition of one fails,
-the group is halved until the failing one stands alone.
+While a group is being committed, further transactions queue; the next group
+takes all of them. So a store that serves a few hundred writes per second can
+carry more transactions than that, and a single transaction is not delayed.
+Each caller gets the outcome of its own writes: if a condition fails, the group
+is split in half until the failing transaction is alone.
 """
 
 from __future__ import annotations
@@ -25,13 +25,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GroupSettings:
-    """Bounds of the groups.
+    """Limits of the groups.
 
     Attributes:
         rows: Most rows in one transaction.
-        waiting: Most transactions that wait; more are refused.
-        in_flight: Groups on their way at once. A second one keeps others
-            going while the answer to the first is lost or late.
+        waiting: Most transactions in the queue; further ones are refused.
+        in_flight: Groups committed concurrently. With a second one, others
+            make progress while the answer to the first is lost or late.
     """
 
     rows: int = 64
@@ -40,27 +40,29 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Waiting:
-    """A transaction that waits for a group, and who waits for it."""
+class PendingTransaction:
+    """A queued transaction and the future for its outcome."""
 
     writes: list[stores.Write]
     outcome: asyncio.Future[expression.Result[list[int], stores.StoreError]]
 
 
 class GroupedTableStore(stores.TableStore):
-    """Groups transactions; reads go straight through."""
+    """Groups transactions; reads are passed through."""
 
     def __init__(
         self, store: stores.TableStore, settings: GroupSettings
     ) -> None:
         self.store = store
         self.settings = settings
-        self.waiting: collections.deque[Waiting] = collections.deque()
+        self.waiting: collections.deque[PendingTransaction] = (
+            collections.deque()
+        )
         self.tasks: set[asyncio.Task[None]] = set()
-        self.committers = 0
+        self.active_commit_tasks = 0
 
     async def close(self) -> None:
-        """Waits for what is waiting and on its way."""
+        """Waits for queued transactions and those in flight."""
         while self.tasks:
             await asyncio.wait(self.tasks)
 
@@ -79,82 +81,82 @@
     async def transact(
         self, writes: list[stores.Write]
     ) -> expression.Result[list[int], stores.StoreError]:
-        """Applies all writes or none, perhaps with those of others."""
+        """Applies all writes or none, possibly grouped with other callers'."""
         if len(self.waiting) >= self.settings.waiting:
             return expression.Error(
                 errors.StoreUnavailable(
-                    "Too many writes are waiting.", retry_after_s=1.0
+                    "The write queue is full.", retry_after_s=1.0
                 )
             )
         outcome: asyncio.Future[
             expression.Result[list[int], stores.StoreError]
         ] = asyncio.get_running_loop().create_future()
-        self.waiting.append(Waiting(writes, outcome))
-        if self.committers < self.settings.in_flight:
-            self.committers += 1
+        self.waiting.append(PendingTransaction(writes, outcome))
+        if self.active_commit_tasks < self.settings.in_flight:
+            self.active_commit_tasks += 1
             task = asyncio.create_task(self._commit_waiting())
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
         return await outcome
 
     async def _commit_waiting(self) -> None:
-        """Commits until nothing waits.
+        """Commits groups until the queue is empty.
 
-        A finished task stays in ``tasks`` until the loop's next turn. Were
-        committers counted by it, a write that comes in between would find
-        them all busy and wait forever; the count falls in the same turn in
-        which nothing was found waiting.
+        A finished task stays in ``tasks`` until the event loop's next
+        iteration. If active tasks were counted by it, a write that arrives in
+        between would find them all busy and wait forever. So the counter is
+        decremented in the same iteration in which the queue is found empty.
         """
         try:
             while self.waiting:
                 await self._commit_group(self._take_group())
         finally:
-            self.committers -= 1
+            self.active_commit_tasks -= 1
 
-    async def _commit_group(self, group: list[Waiting]) -> None:
+    async def _commit_group(self, group: list[PendingTransaction]) -> None:
         try:
             await self._commit(group)
         except BaseException as error:
-            _fail(group, error)
+            _fail_group(group, error)
             raise
 
-    def _take_group(self) -> list[Waiting]:
-        """Takes waiting transactions that touch different rows.
+    def _take_group(self) -> list[PendingTransaction]:
+        """Takes queued transactions that touch different rows.
 
-        Two writes of one row in a transaction would hide whose condition
-        failed, so that the later one waits for the next group.
+        With two writes to one row in a transaction, it would not be clear
+        whose condition failed, so the later one waits for the next group.
         """
-        group: list[Waiting] = []
-        left: list[Waiting] = []
-        places: set[tuple[str, str]] = set()
+        group: list[PendingTransaction] = []
+        left: list[PendingTransaction] = []
+        rows_touched: set[tuple[str, str]] = set()
         while self.waiting:
             candidate = self.waiting.popleft()
             if candidate.outcome.done():
                 continue
             touched = {(write.table, write.key) for write in candidate.writes}
-            if group and self._is_full(places, touched):
+            if group and self._is_full(rows_touched, touched):
                 left.append(candidate)
                 break
-            if places & touched:
+            if rows_touched & touched:
                 left.append(candidate)
                 continue
-            places |= touched
+            rows_touched |= touched
             group.append(candidate)
         self.waiting.extendleft(reversed(left))
         return group
 
     def _is_full(
-        self, places: set[tuple[str, str]], touched: set[tuple[str, str]]
+        self, rows_touched: set[tuple[str, str]], touched: set[tuple[str, str]]
     ) -> bool:
-        return len(places) + len(touched) > self.settings.rows
+        return len(rows_touched) + len(touched) > self.settings.rows
 
-    async def _commit(self, group: Sequence[Waiting]) -> None:
+    async def _commit(self, group: Sequence[PendingTransaction]) -> None:
         if not group:
             return
         writes = [write for waiting in group for write in waiting.writes]
         result = await self.store.transact(writes)
         if result.is_ok():
-            _share(group, result.ok)
+            _distribute_revisions(group, result.ok)
             return
         failed = isinstance(result.error, errors.ConditionFailed)
         if failed and len(group) > 1:
@@ -166,7 +168,9 @@
             _resolve(waiting, expression.Error(result.error))
 
 
-def _share(group: Sequence[Waiting], revisions: list[int]) -> None:
+def _distribute_revisions(
+    group: Sequence[PendingTransaction], revisions: list[int]
+) -> None:
     start = 0
     for waiting in group:
         end = start + len(waiting.writes)
@@ -175,15 +179,18 @@
 
 
 def _resolve(
-    waiting: Waiting, result: expression.Result[list[int], stores.StoreError]
+    waiting: PendingTransaction,
+    result: expression.Result[list[int], stores.StoreError],
 ) -> None:
     if not waiting.outcome.done():
         waiting.outcome.set_result(result)
 
 
-def _fail(group: Sequence[Waiting], error: BaseException) -> None:
-    """Tells all that the outcome is unknown, e.g. on a cancelled task."""
-    unknown = errors.StoreOutcomeUnknown(f"The write was cut off: {error!r}.")
+def _fail_group(
+    group: Sequence[PendingTransaction], error: BaseException
+) -> None:
+    """Resolves all as outcome unknown, e.g. if the task was cancelled."""
+    unknown = errors.StoreOutcomeUnknown(f"The write was aborted: {error!r}.")
     for waiting in group:
         _resolve(waiting, expression.Error(unknown))
 
@@ -191,5 +198,5 @@
 def create_grouped_store(
     store: stores.TableStore, settings: GroupSettings | None = None
 ) -> GroupedTableStore:
-    """Creates a grouping store over another, which the caller owns."""
+    """Creates a grouping store on top of another, which the caller owns."""
     return GroupedTableStore(store, settings or GroupSettings())
--- a/src/almondshift/coordination/lease.py
+++ b/src/almondshift/coordination/lease.py
@@ -1,11 +1,11 @@
-"""A lease: at most one holder at a time, with a fencing number.
+"""A lease with at most one holder at a time and a fencing token.
 
 The holder's deadline counts from before its renewal was sent, and a
-contender waits for the whole duration after it has seen the row unchanged,
-each on its own monotonic clock. So the holder's grant has ended before the
-row can change hands, without any comparison of clocks. What is left are
-clocks that run at different rates (``drift``) and clocks that stop with a
-paused machine; for these the fencing number lets endpoints refuse.
+contender waits for the whole duration after it first saw the row unchanged,
+each on its own monotonic clock. So the holder's grant has expired before
+another process can take the lease, without comparing clocks. What remains are
+clocks that run at different rates (see ``max_clock_drift``) and clocks that
+stop with a paused machine; in these cases endpoints reject stale tokens.
 """
 
 from __future__ import annotations
@@ -28,36 +28,38 @@
 TABLE = "leases"
 TOKEN_BITS = 64
 
-FIRST_LOOK_S = 0.1
+STARTUP_CHECK_INTERVAL_S = 0.1
 """Interval, in seconds, at which a process that has just started and may not
 contend checks whether it may; it reads nothing meanwhile."""
 
-FIRST_LOOKS_S = 5.0
-"""For how long it checks so often, in seconds; processes that start together
-know by then which of them contend."""
+STARTUP_CHECK_PERIOD_S = 5.0
+"""How long it checks at that interval, in seconds; processes that start
+together know by then which of them contend."""
 
-LATER_LOOK_S = 0.5
+CONTEND_CHECK_INTERVAL_S = 0.5
 """Interval of these checks afterwards, in seconds; the cost of each grows with
 the number of processes."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeaseSettings:
-    """Times of a lease.
+    """Timing of a lease.
 
     Attributes:
-        duration_s: Seconds that a grant lasts from before it was asked for.
+        duration_s: Seconds that a grant lasts, counted from before the
+            request was sent.
         renew_s: Seconds between renewals by the holder.
-        watch_s: Mean seconds between reads by the others; spread at random.
-        idle_watch_s: The same while the holder is known to live.
-        drift: Share by which two clocks may run apart over a duration.
+        watch_s: Mean seconds between reads by contenders, with jitter.
+        idle_watch_s: The same while the holder is known to be alive.
+        max_clock_drift: Largest relative difference between the rates of two
+            clocks.
     """
 
     duration_s: float = 6.0
     renew_s: float = 1.5
     watch_s: float = 2.0
     idle_watch_s: float = 2.0
-    drift: float = 0.05
+    max_clock_drift: float = 0.05
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -65,7 +67,7 @@
     """Permission to act until ``deadline``.
 
     Attributes:
-        fencing: Grows with each grant to a new holder.
+        fencing: Fencing token; increases with each grant to a new holder.
         deadline: Monotonic seconds on this process's clock.
     """
 
@@ -75,15 +77,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeaseRow:
-    """What the row of a lease says.
+    """Content of a lease's row.
 
     Attributes:
-        holder: Name of the holder, for people.
+        holder: Name of the holder, for display.
         token: Random id of the holder's process.
         renewal: Number of the holder's request that wrote the row.
-        fencing: Fencing number of the present or last grant.
-        duration_s: Duration that the holder counts with.
-        released: Whether the holder gave it back.
+        fencing: Fencing token of the current or last grant.
+        duration_s: Duration that the holder uses.
+        released: Whether the holder released the lease.
     """
 
     holder: str
@@ -99,7 +101,7 @@
 
 
 def read_row(row: stores.Row) -> LeaseRow:
-    """Returns what a row of the table says."""
+    """Parses the row of a lease."""
     return LeaseRow(
         holder=str(row.value["holder"]),
         token=str(row.value["token"]),
@@ -111,24 +113,25 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Sighting:
-    """A revision of another's row, and when it was first seen."""
+class ObservedRevision:
+    """A revision written by another process, and when it was first seen."""
 
     revision: int
     seen_at: float
 
 
 class Lease:
-    """One process's part in a lease.
+    """One process's participation in a lease.
 
     Attributes:
-        own_revision: Revision of this process's last write, while no write
-            since is of unknown outcome; None makes the next step read.
-        holder: Name of the last known holder, ``""`` if none; for people.
-        may_contend: Whether this process takes part at present; a few of many
-            are enough, and each costs reads.
-        is_holder_alive: Whether the named holder is known to live by other
-            means; only spares reads, and takes no part in who may hold.
+        own_revision: Revision of this process's last write, while no later
+            write has an unknown outcome; None makes the next step read.
+        holder: Name of the last known holder, ``""`` if none; for display.
+        may_contend: Returns whether this process currently contends; a few
+            of many suffice, and each causes reads.
+        is_holder_alive: Returns whether the named holder is known to be alive
+            by other means; only saves reads and never decides who may hold
+            the lease.
     """
 
     def __init__(
@@ -148,26 +151,26 @@
         self.settings = settings
         self.token = f"{owner}/{rng.getrandbits(TOKEN_BITS):016x}"
         self.holder = ""
-        self.held: LeaseGrant | None = None
-        self.sighting: Sighting | None = None
+        self.current_grant: LeaseGrant | None = None
+        self.observed: ObservedRevision | None = None
         self.renewal = 0
         self.own_revision: int | None = None
         self.sent_at: dict[int, float] = {}
         self.closing = False
         self.started_at = -math.inf
-        self.read_at = -math.inf
-        self.is_renewed = True
+        self.last_read_at = -math.inf
+        self.is_holder_renewing = True
         self.may_contend: Callable[[], bool] = lambda: True
         self.is_holder_alive: Callable[[str], bool] = lambda holder: False
         self.loop_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Starts to acquire, renew or watch the lease."""
+        """Starts the task that acquires, renews or watches the lease."""
         self.started_at = self.clock.monotonic()
         self.loop_task = asyncio.create_task(self._loop())
 
     async def close(self) -> None:
-        """Ends the grant and then gives the lease back; once."""
+        """Ends the grant, then releases the lease; idempotent."""
         if self.closing:
             return
         self.closing = True
@@ -176,25 +179,28 @@
             with contextlib.suppress(asyncio.CancelledError):
                 await self.loop_task
             self.loop_task = None
-        self.held = None
+        self.current_grant = None
         await self._release()
 
     def grant(self) -> LeaseGrant | None:
         """Returns the grant if it is valid right now.
 
-        Ask again right before each order: a process that was paused past
-        its deadline learns of it only here.
+        Call it immediately before each order: only this check notices that
+        the process was paused past its deadline.
         """
-        if self.held is None or self.clock.monotonic() >= self.held.deadline:
+        if (
+            self.current_grant is None
+            or self.clock.monotonic() >= self.current_grant.deadline
+        ):
             return None
-        return self.held
+        return self.current_grant
 
     async def step(self) -> None:
-        """Acquires or renews if that is possible.
+        """Acquires or renews the lease if possible.
 
-        A holder renews by one conditional write on its own last revision:
-        a read before it would double the holder's calls, and the condition
-        fails if anybody else wrote meanwhile.
+        A holder renews by one write that is conditional on its own last
+        revision. Reading first would double the holder's calls, and the
+        condition fails if another process wrote in the meantime.
         """
         grant = self.grant()
         if grant is not None and self.own_revision is not None:
@@ -212,36 +218,42 @@
         if row.token == self.token and not row.released:
             await self._renew(row, read.ok.revision)
             return
-        self.held = None
-        known = self.sighting
-        self.is_renewed = known is None or known.revision != read.ok.revision
+        self.current_grant = None
+        known = self.observed
+        self.is_holder_renewing = (
+            known is None or known.revision != read.ok.revision
+        )
         if self._may_take(row, read.ok.revision, seen_at):
             await self._write(read.ok.revision, fencing=row.fencing + 1)
 
     def _may_take(self, row: LeaseRow, revision: int, seen_at: float) -> bool:
-        """Returns whether the holder's grant has ended for certain.
+        """Returns whether the holder's grant has certainly expired.
 
-        A contender that took over on the age of the row, or on its clock
-        against a time in the row, could act beside a holder that renewed
-        meanwhile. The holder sent its last renewal before this process saw
-        it, so that a full duration after the first sight is enough.
+        If a contender took over based on the age of the row, or by comparing
+        its clock to a time in the row, it could act concurrently with a
+        holder that has renewed since. The holder sent its last renewal before
+        this process saw it, so a full duration after first seeing it is
+        enough.
         """
         if row.released:
             return True
-        if self.sighting is None or self.sighting.revision != revision:
-            self.sighting = Sighting(revision, seen_at)
+        if self.observed is None or self.observed.revision != revision:
+            self.observed = ObservedRevision(revision, seen_at)
             return False
-        waited_s = seen_at - self.sighting.seen_at
-        return waited_s >= row.duration_s * (1.0 + self.settings.drift)
+        waited_s = seen_at - self.observed.seen_at
+        return waited_s >= row.duration_s * (
+            1.0 + self.settings.max_clock_drift
+        )
 
     async def _renew(self, row: LeaseRow, revision: int) -> None:
-        """Writes the own row again, also after a lost answer.
+        """Renews this process's row, also after a lost answer.
 
-        The row may hold an own request whose answer was lost; its grant
-        counts from before that request. After the deadline the number
-        grows, so that orders from before and after it can be told apart.
+        The row may come from a request of this process whose answer was lost;
+        its grant counts from before that request. After the deadline the
+        fencing token is incremented, to distinguish orders from before and
+        after it.
         """
-        self._hold(row.fencing, row.renewal)
+        self._extend_grant(row.fencing, row.renewal)
         fencing = row.fencing if self.grant() is not None else row.fencing + 1
         await self._write(revision, fencing)
 
@@ -254,34 +266,37 @@
         write = stores.Write(TABLE, self.name, row.to_value(), revision)
         written = await self.store.transact([write])
         if self._has_lapsed(fencing):
-            # Held again under the same number, orders from before and after
-            # the gap could not be told apart. The next step takes a new one.
+            # With the same fencing token, orders from before and after the gap
+            # could not be distinguished. The next step uses a new token.
             self.sent_at.pop(renewal, None)
         elif written.is_ok():
             self.own_revision = written.ok[0]
             self.holder = self.owner
-            self._hold(fencing, renewal)
+            self._extend_grant(fencing, renewal)
         elif written.is_error() and isinstance(
             written.error, errors.ConditionFailed
         ):
             self.sent_at.pop(renewal, None)
 
     def _has_lapsed(self, fencing: int) -> bool:
-        """Returns whether the grant with this number has ended."""
-        held = self.held
+        """Returns whether the grant with this fencing token has expired."""
+        grant = self.current_grant
         return (
-            held is not None
-            and held.fencing == fencing
+            grant is not None
+            and grant.fencing == fencing
             and self.grant() is None
         )
 
-    def _hold(self, fencing: int, renewal: int) -> None:
+    def _extend_grant(self, fencing: int, renewal: int) -> None:
         sent_at = self.sent_at.get(renewal)
         if sent_at is None or self.closing:
             return
         deadline = sent_at + self.settings.duration_s
-        if self.held is None or deadline >= self.held.deadline:
-            self.held = LeaseGrant(fencing, deadline)
+        if (
+            self.current_grant is None
+            or deadline >= self.current_grant.deadline
+        ):
+            self.current_grant = LeaseGrant(fencing, deadline)
         self.sent_at = {
             number: at
             for number, at in self.sent_at.items()
@@ -313,32 +328,41 @@
 
     async def _loop(self) -> None:
         while True:
-            if not self._may_skip():
-                self.read_at = self.clock.monotonic()
+            if not self._can_skip_read():
+                self.last_read_at = self.clock.monotonic()
                 await self.step()
-            await self.clock.sleep(self._pause_s())
+            await self.clock.sleep(self._loop_delay_s())
 
-    def _may_skip(self) -> bool:
-        """Returns whether a read can wait, since others watch the row.
+    def _can_skip_read(self) -> bool:
+        """Returns whether the read of this iteration can be skipped.
 
-        A holder may live and yet have lost the store; its row then stands
-        still, and has to be watched closely to be taken over in time.
+        The holder may be alive but unable to reach the store. Its row then
+        stays unchanged and has to be watched closely, so that the lease is
+        taken over in time.
         """
         if not self.may_contend():
-            return self.held is None
-        if self.held is not None or not self.holder or not self.is_renewed:
+            return self.current_grant is None
+        if (
+            self.current_grant is not None
+            or not self.holder
+            or not self.is_holder_renewing
+        ):
             return False
         if self.holder == self.owner or not self.is_holder_alive(self.holder):
             return False
-        since_s = self.clock.monotonic() - self.read_at
+        since_s = self.clock.monotonic() - self.last_read_at
         return since_s < self.settings.idle_watch_s
 
-    def _pause_s(self) -> float:
+    def _loop_delay_s(self) -> float:
         if self.grant() is not None:
             return self.settings.renew_s
-        if self.read_at == -math.inf:
+        if self.last_read_at == -math.inf:
             since_s = self.clock.monotonic() - self.started_at
-            return FIRST_LOOK_S if since_s < FIRST_LOOKS_S else LATER_LOOK_S
+            return (
+                STARTUP_CHECK_INTERVAL_S
+                if since_s < STARTUP_CHECK_PERIOD_S
+                else CONTEND_CHECK_INTERVAL_S
+            )
         return self.settings.watch_s * self.rng.uniform(0.5, 1.5)
 
 
@@ -350,15 +374,15 @@
     holder: str,
     settings: LeaseSettings | None = None,
 ) -> Lease:
-    """Creates a part in a lease; ``start`` begins to contend for it.
+    """Creates a participant in a lease; ``start`` makes it contend.
 
     Args:
-        store: Where the row of the lease is.
+        store: Holds the row of the lease.
         clock: Its monotonic time bounds the grant.
-        rng: Spreads the reads and draws the token of this process; must
+        rng: Jitters the reads and generates the token of this process; must
             differ between processes.
         name: Key of the lease.
-        holder: Name of this process, for people.
+        holder: Name of this process, for display.
         settings: None for the defaults.
     """
     return Lease(store, clock, rng, name, holder, settings or LeaseSettings())
--- a/tests/coordination/test_drain.py
+++ b/tests/coordination/test_drain.py
@@ -102,7 +102,7 @@
         report = await node.report()
         assert report.seconds == pytest.approx(closed_s, abs=0.2)
         assert report.finished == 1
-        assert report.cut == ()
+        assert report.aborted == ()
 
     asyncio.run(scenario())
 
@@ -119,7 +119,7 @@
         node.drain.begin("stream")
         await node.stop(40.0)
         report = await node.report()
-        assert report.cut == ("stream",)
+        assert report.aborted == ("stream",)
         [(request_id, error)] = node.final
         assert request_id == "stream"
         assert error.execution is errors.Execution.UNKNOWN
--- a/tests/coordination/test_lease.py
+++ b/tests/coordination/test_lease.py
@@ -15,7 +15,7 @@
 from tests.fakes import tables as fake_tables
 
 Outcome = fake_tables.Outcome
-SETTINGS = lease.LeaseSettings(duration_s=6.0, drift=0.05)
+SETTINGS = lease.LeaseSettings(duration_s=6.0, max_clock_drift=0.05)
 
 
 class SkewedClock(clock_ports.Clock):
@@ -102,7 +102,7 @@
         first = [at for at in checks if at - started_at < 1.0]
         later = [at for at in checks if at - started_at >= 10.0]
         assert len(first) >= 9
-        assert len(later) <= 20.0 / lease.LATER_LOOK_S + 1
+        assert len(later) <= 20.0 / lease.CONTEND_CHECK_INTERVAL_S + 1
         may_contend = True
         for _ in range(10):
             await cluster.clock.advance(0.1)
--- a/tests/coordination/test_leaving.py
+++ b/tests/coordination/test_leaving.py
@@ -139,7 +139,7 @@
     for _ in range(10):
         known.endpoint_said("e", "i1")
     assert told == ["e"]
-    clock.now += leaving.TELL_AGAIN_S
+    clock.now += leaving.REPUBLISH_AFTER_S
     known.endpoint_said("e", "i1")
     assert told == ["e", "e"]
 
--- a/tests/coordination/test_over_platform.py
+++ b/tests/coordination/test_over_platform.py
@@ -156,7 +156,7 @@
     # and takes the lease again with a higher number when it is back.
     async def case(platform: server.PlatformServer, stores: Stores) -> None:
         short = lease.LeaseSettings(
-            duration_s=0.4, renew_s=0.1, watch_s=0.1, drift=0.05
+            duration_s=0.4, renew_s=0.1, watch_s=0.1, max_clock_drift=0.05
         )
         rng = random.Random(1)
         held = lease.create_lease(stores.table, CLOCK, rng, "l", "n1", short)
