--- a/src/almondshift/coordination/quarantine.py
+++ b/src/almondshift/coordination/quarantine.py
@@ -1,36 +1,39 @@
-"""Requests that crash every endpoint that runs them.
-
-A request is known by its fingerprint. What was in flight at an endpoint when
-it crashed is suspect; a suspect is run only alone; one that crashes a second
-endpoint is refused until its conviction expires. Without it one request,
-retried here and sent again by its caller through other nodes, takes down one
-endpoint after another.
-
-**Two endpoints at most, over all nodes.** Each node tells peers of a crash
-at once, as a QUARANTINE fact. Two nodes may still run the same suspect:
-
-1. Node A sees the first crash. Before B hears of it, the caller sends the
-   request again through B, which runs it freely. So A waits
-   ``spread_wait_s`` from the last crash before it runs a suspect again.
-   Meanwhile B hears of the suspicion and tells that the request is running
-   there; A waits for its end. If it crashes there, that was the second one.
-2. After the wait A and B may both want to run it alone. A table row for the
-   fingerprint decides (see ``quarantine_trials``); with the platform away
-   suspects are refused.
-
-So there is the first crash, and then either the copy that was under way
-elsewhere or one trial. More are lost only if more copies ran freely before
-the first crash was known, which no node can tell from ordinary requests.
-
-**A rack or zone.** Several endpoints of one zone that die within
-``window_s`` are taken for a failure below them: what was in flight there is
-not suspected. The wait of step 1 is longer than the window, so that nothing
-is convicted before the others' deaths are known. A request that was passed
-over in this way, was run again and met another crash is suspect even if that
-crash is in such a window: else one that crashes endpoints while a rack dies
-would go on from one to the next. "In flight" means work outstanding at the
-endpoint, not a session parked there, so that a request in a chain is in
-flight at one endpoint at a time.
+"""Quarantine of requests that crash every endpoint that runs them.
+
+A request is identified by its fingerprint. Requests in flight at an endpoint
+when it crashed are suspects. A suspect is run only alone, as a trial; one that
+crashes a second endpoint is convicted, i.e. refused until the conviction
+expires. Without this, a single request that is retried here and resent by its
+caller through other nodes takes down one endpoint after another.
+
+**At most two endpoints, over all nodes.** Each node publishes a crash to its
+peers at once, as a QUARANTINE fact. Two nodes may still run the same suspect:
+
+1. Node A sees the first crash. Before B learns of it, the caller resends the
+   request through B, which runs it normally. So A waits
+   ``propagation_wait_s`` from the last crash before it runs a suspect again.
+   Meanwhile B learns of the suspicion and publishes that the request is
+   running there; A waits until it ends. If it crashes there, that was the
+   second endpoint.
+2. After the wait, A and B may both want to run it alone. A table row for the
+   fingerprint decides (see ``quarantine_trials``); while the platform is
+   unavailable, suspects are refused.
+
+So there is the first crash, and then either the copy that was already running
+on another node or one trial. More endpoints are lost only if more copies were
+running before the first crash was known, which no node can distinguish from
+ordinary requests.
+
+**Failure of a rack or zone.** If several endpoints of one zone crash within
+``window_s``, this is considered an infrastructure failure, and requests that
+were in flight there are not suspects. The wait of step 1 is longer than the
+window, so that no request is convicted before the other crashes are known. A
+request that was exempted in this way, was run again and was in flight at
+another crash is a suspect even if that crash is in such a window: otherwise a
+request that crashes endpoints during a rack failure could continue from one
+endpoint to the next. "In flight" means outstanding work at the endpoint, not
+an idle session there, so that a request in a chain is in flight at one
+endpoint at a time.
 """
 
 from __future__ import annotations
@@ -51,18 +54,18 @@
     from almondshift.ports import peers
 
 MAX_FACTS_PER_CRASH = 8
-"""Of one crash at most this many facts are told; a node with more requests
-in flight on one endpoint keeps the rest of its suspects to itself."""
+"""Most facts published for one crash; if a node had more requests in flight on
+the endpoint, the remaining suspects are known only to itself."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CrashOutcome:
-    """What a crash led to.
+    """Consequences of a crash.
 
     Attributes:
         suspects: Fingerprints that were in flight.
-        infrastructure: Whether it is taken for a failure of a rack or zone;
-            may still come out with the next crashes.
+        infrastructure: Whether it is considered a failure of a rack or zone;
+            further crashes may still change this to true.
     """
 
     suspects: frozenset[str]
@@ -70,15 +73,16 @@
 
 
 class Quarantine:
-    """What may run, as one node sees it.
+    """One node's view of which requests may run.
 
     Attributes:
-        work: What is in flight from here.
-        crashes: Crashes that count.
-        facts: Tells peers.
+        work: Work in flight from this node.
+        crashes: The known crashes.
+        publisher: Publishes facts to peers.
         convicted: Monotonic time at which each conviction expires.
-        trials: Endpoints kept free for each suspect that runs alone.
-        elsewhere: Peers that run a suspect freely, by fingerprint.
+        trials: Endpoints reserved for each suspect that runs alone.
+        running_on_peers: Peers that run a suspect outside a trial, by
+            fingerprint.
     """
 
     def __init__(
@@ -92,77 +96,81 @@
         self.clock = clock
         self.settings = settings
         self.node = node
-        self.facts = quarantine_facts.QuarantineFacts(
+        self.publisher = quarantine_facts.QuarantinePublisher(
             settings, node, publish, withdraw
         )
         self.work = quarantine_work.WorkInFlight(clock)
         self.crashes = quarantine_crashes.Crashes(
-            clock, settings, node, self.facts.take_back
+            clock, settings, node, self.publisher.withdraw_fact
         )
         self.convicted: dict[str, float] = {}
         self.trials: dict[str, frozenset[str]] = {}
-        self.elsewhere: dict[str, set[str]] = {}
+        self.running_on_peers: dict[str, set[str]] = {}
 
-    # What runs.
+    # Work in flight.
 
     def in_flight(self, endpoint: str, fingerprint: str) -> None:
-        """Notes that work of a request is outstanding at an endpoint."""
+        """Records that a request has outstanding work at an endpoint."""
         self.work.begin(endpoint, fingerprint)
 
     def done(self, endpoint: str, fingerprint: str) -> None:
-        """Notes that the endpoint answered, or the work was given up."""
+        """Records that the endpoint answered, or the work was abandoned."""
         if self.work.end(endpoint, fingerprint):
-            self.tell_if_ended(fingerprint)
+            self.publish_if_ended(fingerprint)
 
-    def tell_if_ended(self, fingerprint: str) -> None:
-        """Tells peers that wait for its end that a suspect runs no more."""
-        if fingerprint not in self.facts.told_running:
+    def publish_if_ended(self, fingerprint: str) -> None:
+        """Publishes the end of a suspect whose run was published before."""
+        if fingerprint not in self.publisher.published_running:
             return
-        if not self.work.runs(fingerprint):
-            self.facts.tell_ended(fingerprint)
+        if not self.work.is_running(fingerprint):
+            self.publisher.publish_ended(fingerprint)
 
     # Crashes.
 
     def crashed(self, endpoint: str, at: float, zone: str) -> CrashOutcome:
-        """Takes the crash of an endpoint; also of one that had no work.
+        """Records the crash of an endpoint, even if it had no work.
 
         Args:
             endpoint: Name of the endpoint.
             at: Monotonic time in seconds.
             zone: Availability zone, or rack if known.
         """
-        began = self.work.take(endpoint)
+        began = self.work.end_all(endpoint)
         suspects = frozenset(began)
-        again = {
+        implicated_again = {
             fingerprint
             for fingerprint, started in began.items()
-            if self.crashes.was_passed_over(fingerprint, started)
+            if self.crashes.was_excluded_before(fingerprint, started)
         }
         alone = suspects in [
             {fingerprint}
             for fingerprint, endpoints in self.trials.items()
             if endpoint in endpoints
         ]
-        counted = suspects if self.counts(endpoint, alone) else frozenset()
+        counted = (
+            suspects
+            if self.implicates_requests(endpoint, alone)
+            else frozenset()
+        )
         crash = quarantine_crashes.Crash(endpoint, zone, at, set(), alone)
-        keys = self.crashes.note_own(
-            crash, counted if alone else counted - again
+        keys = self.crashes.add_own(
+            crash, counted if alone else counted - implicated_again
         )
-        if again and not alone:
+        if implicated_again and not alone:
             firm = dataclasses.replace(crash, firm=True)
-            keys += self.crashes.note_own(firm, counted & again)
-        self.crashes.judge_window(crash)
+            keys += self.crashes.add_own(firm, counted & implicated_again)
+        self.crashes.exclude_if_infrastructure(crash)
         for key in keys[:MAX_FACTS_PER_CRASH]:
-            self.facts.tell_crash(key, self.crashes.by_key[key])
+            self.publisher.publish_crash(key, self.crashes.by_key[key])
         for fingerprint in suspects:
-            self.tell_if_ended(fingerprint)
-        infrastructure = self.crashes.by_key[keys[0]].void
+            self.publish_if_ended(fingerprint)
+        infrastructure = self.crashes.by_key[keys[0]].excluded
         return CrashOutcome(counted, infrastructure)
 
-    def counts(self, endpoint: str, alone: bool) -> bool:
-        """Returns whether a crash speaks against what was in flight.
+    def implicates_requests(self, endpoint: str, alone: bool) -> bool:
+        """Returns whether a crash implicates the requests in flight.
 
-        At an endpoint kept free for a suspect it speaks against that one.
+        At an endpoint reserved for a suspect, it implicates only that one.
         """
         return alone or endpoint not in self.reserved()
 
@@ -179,10 +187,12 @@
             return quarantine_verdicts.FREE
         if self.is_running_somewhere(fingerprint):
             return quarantine_verdicts.refused(self.settings.busy_retry_s)
-        wait = max(c.at for c in crashes) + self.settings.spread_wait_s - now
+        wait = (
+            max(c.at for c in crashes) + self.settings.propagation_wait_s - now
+        )
         if wait > 0:
             return quarantine_verdicts.refused(wait)
-        if quarantine_crashes.is_guilty(crashes):
+        if quarantine_crashes.justifies_conviction(crashes):
             return self.convict(fingerprint)
         return quarantine_verdicts.ALONE
 
@@ -191,47 +201,48 @@
         return self.crashes.counting(fingerprint)
 
     def is_running_somewhere(self, fingerprint: str) -> bool:
-        """Returns whether a suspect is in flight, here or elsewhere."""
+        """Returns whether a suspect is in flight on this or another node."""
         return (
-            self.work.runs(fingerprint)
+            self.work.is_running(fingerprint)
             or fingerprint in self.trials
-            or bool(self.elsewhere.get(fingerprint))
+            or bool(self.running_on_peers.get(fingerprint))
         )
 
     def convict(self, fingerprint: str) -> quarantine_verdicts.Verdict:
-        """Refuses a request until its conviction expires; tells peers."""
+        """Convicts a request and publishes it; returns the refusal."""
         for_s = self.settings.conviction_s
         self.convicted[fingerprint] = self.clock.monotonic() + for_s
         self.crashes.drop(fingerprint)
-        self.facts.tell_convicted(fingerprint)
+        self.publisher.publish_convicted(fingerprint)
         return quarantine_verdicts.refused(for_s, convicted=True)
 
     def passed(self, fingerprint: str) -> None:
-        """Clears a suspect that got past what crashed; tells peers."""
+        """Clears a suspect that got past the crash point; publishes it."""
         self.crashes.clear(fingerprint, self.clock.monotonic())
-        self.facts.tell_cleared(fingerprint)
+        self.publisher.publish_cleared(fingerprint)
 
     # Trials.
 
     def reserved(self) -> frozenset[str]:
-        """Returns the endpoints kept free for suspects, of all nodes."""
+        """Returns the endpoints that any node reserved for suspects."""
         return frozenset().union(*self.trials.values())
 
     def may_use(self, endpoint: str, fingerprint: str) -> bool:
         """Returns whether a request may be sent to an endpoint.
 
-        Nothing may run beside a suspect: it would be lost with it, and
-        could not be told from it.
+        Nothing may run concurrently with a suspect: it would be lost in the
+        same crash and could not be distinguished from the suspect.
         """
         if fingerprint in self.trials:
             return endpoint in self.trials[fingerprint]
         return endpoint not in self.reserved()
 
     def begin_trial(self, fingerprint: str, endpoints: Iterable[str]) -> bool:
-        """Keeps endpoints free for a suspect; tells peers.
+        """Reserves endpoints for a suspect and publishes it.
 
         Returns:
-            False if the verdict is not ALONE or one is already kept free.
+            False if the verdict is not ALONE or an endpoint is already
+            reserved.
         """
         chosen = frozenset(endpoints)
         verdict = self.may_run(fingerprint)
@@ -240,21 +251,21 @@
         if chosen & self.reserved():
             return False
         self.trials[fingerprint] = chosen
-        self.facts.tell_trial(fingerprint, chosen)
+        self.publisher.publish_trial(fingerprint, chosen)
         return True
 
     def end_trial(self, fingerprint: str, completed: bool) -> None:
-        """Ends a trial; a suspect that completed alone is cleared."""
+        """Ends a trial and clears a suspect that completed."""
         if self.trials.pop(fingerprint, None) is None:
             return
-        self.facts.tell_trial_ended(fingerprint)
+        self.publisher.publish_trial_ended(fingerprint)
         if completed:
             self.passed(fingerprint)
 
     # Facts of peers.
 
     def merge(self, key: str, fact: peers.Fact | None) -> None:
-        """Takes a peer's fact; the callback for QUARANTINE facts."""
+        """Merges a peer's fact; the callback for QUARANTINE facts."""
         subject, _, rest = key.partition("/")
         if fact is not None and fact.origin == self.node:
             return
@@ -273,37 +284,37 @@
                 self.crashes.drop(rest)
 
     def stated_at(self, fact: peers.Fact) -> float:
-        """Returns when a fact about a suspicion was stated."""
+        """Returns the time at which a fact about a suspect was published."""
         age_s = max(0.0, self.settings.suspicion_s - fact.ttl_s)
         return self.clock.monotonic() - age_s
 
     def merge_crash(self, key: str, fact: peers.Fact | None) -> None:
-        """Takes a peer's crash; tells of suspects that run freely here."""
+        """Merges a peer's crash; publishes suspects that are running here."""
         if fact is None:
-            self.crashes.void(key)
+            self.crashes.exclude(key)
             return
         crash = quarantine_facts.decode_crash(fact, self.stated_at(fact))
         if crash is None:
             return
         suspects = sorted(crash.fingerprints)
-        self.crashes.note(key, crash)
+        self.crashes.add_from_peer(key, crash)
         for fingerprint in suspects:
-            if self.work.runs(fingerprint):
-                self.facts.tell_running(fingerprint)
+            if self.work.is_running(fingerprint):
+                self.publisher.publish_running(fingerprint)
 
     def merge_running(self, rest: str, fact: peers.Fact | None) -> None:
-        """Takes that a peer runs a suspect freely, or no longer does."""
+        """Records that a peer runs a suspect, or no longer does."""
         fingerprint, _, node = rest.partition("/")
-        nodes = self.elsewhere.setdefault(fingerprint, set())
+        nodes = self.running_on_peers.setdefault(fingerprint, set())
         if fact is None:
             nodes.discard(node)
         else:
             nodes.add(node)
         if not nodes:
-            del self.elsewhere[fingerprint]
+            del self.running_on_peers[fingerprint]
 
     def merge_trial(self, fingerprint: str, fact: peers.Fact | None) -> None:
-        """Takes the endpoints that a peer keeps free, or their release."""
+        """Merges a peer's reservation of endpoints, or its release."""
         if fact is None:
             self.trials.pop(fingerprint, None)
             return
@@ -311,10 +322,10 @@
         if endpoints is not None:
             self.trials[fingerprint] = endpoints
 
-    # Upkeep.
+    # Maintenance.
 
     def expire(self) -> None:
-        """Forgets what no longer counts; to be called now and then."""
+        """Removes expired crashes and convictions; call it periodically."""
         now = self.clock.monotonic()
         self.crashes.expire()
         self.convicted = {
@@ -347,14 +358,14 @@
     withdraw: quarantine_facts.Withdraw,
     settings: quarantine_verdicts.QuarantineSettings | None = None,
 ) -> Quarantine:
-    """Creates a quarantine that knows of no crash.
+    """Creates a quarantine without known crashes.
 
     Args:
         clock: Source of time.
         node: Name of this node.
         publish: ``Membership.publish``.
         withdraw: ``Membership.withdraw``.
-        settings: Figures; the defaults if None.
+        settings: None for the defaults.
     """
     return Quarantine(
         clock,
--- a/src/almondshift/coordination/quarantine_facts.py
+++ b/src/almondshift/coordination/quarantine_facts.py
@@ -1,4 +1,4 @@
-"""Facts about suspects, as nodes tell them to each other."""
+"""Encodes and publishes the facts about suspects."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
     Publish = Callable[[peers.FactKind, str, bytes, float], None]
     Withdraw = Callable[[peers.FactKind, str], None]
 
-NOTHING = b"{}"
-"""The value of a fact whose key says all."""
+EMPTY_VALUE = b"{}"
+"""Value of a fact whose key holds all information."""
 
 
 class CrashValue(pydantic.BaseModel):
@@ -37,11 +37,11 @@
     endpoints: list[str]
 
 
-class QuarantineFacts:
-    """Tells peers of suspects.
+class QuarantinePublisher:
+    """Publishes facts about suspects to peers.
 
     Attributes:
-        told_running: Suspects that peers were told to be under way here.
+        published_running: Suspects that were published as running here.
     """
 
     def __init__(
@@ -55,11 +55,11 @@
         self.node = node
         self.publish = publish
         self.withdraw = withdraw
-        self.told_running: set[str] = set()
+        self.published_running: set[str] = set()
 
-    def tell_crash(self, key: str, crash: quarantine_crashes.Crash) -> None:
-        """Tells of an own crash, if anything was in flight."""
-        if crash.void or not crash.fingerprints:
+    def publish_crash(self, key: str, crash: quarantine_crashes.Crash) -> None:
+        """Publishes an own crash if any request was in flight."""
+        if crash.excluded or not crash.fingerprints:
             return
         value = CrashValue(
             endpoint=crash.endpoint,
@@ -69,53 +69,57 @@
             firm=crash.firm,
         )
         content = value.model_dump_json().encode()
-        self.tell(key, content, self.settings.suspicion_s)
+        self.publish_fact(key, content, self.settings.suspicion_s)
 
-    def tell_convicted(self, fingerprint: str) -> None:
-        """Tells that a request is refused everywhere from now on."""
+    def publish_convicted(self, fingerprint: str) -> None:
+        """Publishes that all nodes have to refuse a request from now on."""
         for_s = self.settings.conviction_s
-        self.tell(f"convicted/{fingerprint}", NOTHING, for_s)
+        self.publish_fact(f"convicted/{fingerprint}", EMPTY_VALUE, for_s)
 
-    def tell_cleared(self, fingerprint: str) -> None:
-        """Tells that a request is no suspect any more."""
+    def publish_cleared(self, fingerprint: str) -> None:
+        """Publishes that a request is no longer a suspect."""
         for_s = self.settings.suspicion_s
-        self.tell(f"cleared/{fingerprint}", NOTHING, for_s)
+        self.publish_fact(f"cleared/{fingerprint}", EMPTY_VALUE, for_s)
 
-    def tell_trial(self, fingerprint: str, endpoints: frozenset[str]) -> None:
-        """Tells which endpoints are kept free for a suspect."""
+    def publish_trial(
+        self, fingerprint: str, endpoints: frozenset[str]
+    ) -> None:
+        """Publishes which endpoints are reserved for a suspect."""
         value = TrialValue(endpoints=sorted(endpoints)).model_dump_json()
-        self.tell(f"trial/{fingerprint}", value.encode(), self.settings.trial_s)
+        self.publish_fact(
+            f"trial/{fingerprint}", value.encode(), self.settings.trial_s
+        )
 
-    def tell_trial_ended(self, fingerprint: str) -> None:
-        """Tells that they are free again."""
-        self.take_back(f"trial/{fingerprint}")
+    def publish_trial_ended(self, fingerprint: str) -> None:
+        """Publishes that these endpoints are released."""
+        self.withdraw_fact(f"trial/{fingerprint}")
 
-    def tell_running(self, fingerprint: str) -> None:
-        """Tells that a new suspect is already under way here."""
-        if fingerprint in self.told_running:
+    def publish_running(self, fingerprint: str) -> None:
+        """Publishes that a new suspect is already running here."""
+        if fingerprint in self.published_running:
             return
-        self.told_running.add(fingerprint)
+        self.published_running.add(fingerprint)
         key = f"running/{fingerprint}/{self.node}"
-        self.tell(key, NOTHING, self.settings.trial_s)
+        self.publish_fact(key, EMPTY_VALUE, self.settings.trial_s)
 
-    def tell_ended(self, fingerprint: str) -> None:
-        """Tells that a suspect no longer runs freely here."""
-        self.told_running.discard(fingerprint)
-        self.take_back(f"running/{fingerprint}/{self.node}")
+    def publish_ended(self, fingerprint: str) -> None:
+        """Publishes that a suspect no longer runs here."""
+        self.published_running.discard(fingerprint)
+        self.withdraw_fact(f"running/{fingerprint}/{self.node}")
 
-    def tell(self, key: str, value: bytes, ttl_s: float) -> None:
-        """Publishes a fact."""
+    def publish_fact(self, key: str, value: bytes, ttl_s: float) -> None:
+        """Publishes a QUARANTINE fact."""
         self.publish(peers.FactKind.QUARANTINE, key, value, ttl_s)
 
-    def take_back(self, key: str) -> None:
-        """Withdraws a fact."""
+    def withdraw_fact(self, key: str) -> None:
+        """Withdraws a QUARANTINE fact."""
         self.withdraw(peers.FactKind.QUARANTINE, key)
 
 
 def decode_crash(
     fact: peers.Fact, at: float
 ) -> quarantine_crashes.Crash | None:
-    """Returns the crash that a peer tells of; None if it can't be read."""
+    """Decodes a peer's crash; None if the value is invalid."""
     try:
         value = CrashValue.model_validate_json(fact.value)
     except pydantic.ValidationError:
@@ -131,7 +135,7 @@
 
 
 def decode_trial(fact: peers.Fact) -> frozenset[str] | None:
-    """Returns the endpoints that a peer keeps free; None if unreadable."""
+    """Decodes the endpoints that a peer reserved; None if invalid."""
     try:
         value = TrialValue.model_validate_json(fact.value)
     except pydantic.ValidationError:
--- a/src/almondshift/coordination/quarantine_trials.py
+++ b/src/almondshift/coordination/quarantine_trials.py
@@ -1,11 +1,12 @@
-"""Runs a suspect alone, once in the whole system.
-
-Nodes learn of crashes from each other, late or not at all while parted, so
-two of them may find that the same suspect may be run alone. The table
-decides: only the node whose row for the fingerprint was inserted runs it. A
-node that dies in its trial leaves its row, and nobody runs the suspect
-again, as if it had crashed an endpoint. With the platform away suspects are
-refused: that costs one caller a wait, a third crash costs many their work.
+"""Runs a suspect alone, at most once in the whole system.
+
+Nodes learn of each other's crashes with a delay, or not at all during a
+network partition, so two of them may decide to run the same suspect alone. The
+table arbitrates: only the node that inserted the row for the fingerprint runs
+it. If a node dies during its trial, the row stays and no node runs the suspect
+again, as if it had crashed an endpoint. While the platform is unavailable,
+suspects are refused: one caller has to wait, whereas a third crash would cost
+many callers their work.
 """
 
 from __future__ import annotations
@@ -32,7 +33,7 @@
 
 
 class TrialOutcome(enum.StrEnum):
-    """How the run of a suspect ended."""
+    """Outcome of the trial of a suspect."""
 
     COMPLETED = "completed"
     NOT_RUN = "not_run"
@@ -48,7 +49,7 @@
     """A suspect that may run alone now.
 
     Attributes:
-        endpoints: The only endpoints it may be sent to.
+        endpoints: The only endpoints to which it may be sent.
         revision: Revision of its row.
     """
 
@@ -58,11 +59,11 @@
 
 
 class QuarantineTrials:
-    """Claims the right to run a suspect and keeps its endpoints free.
+    """Claims suspects in the table and reserves endpoints for their trials.
 
     Attributes:
-        seen: Rows of others, with the time at which each was first seen in
-            its present revision.
+        seen: Revisions of other nodes' rows, with the time at which each was
+            first seen, by fingerprint.
     """
 
     def __init__(
@@ -84,15 +85,15 @@
         endpoints: Iterable[str],
         is_idle: Callable[[str], bool],
     ) -> expression.Result[Trial, TrialError]:
-        """Prepares the run of a suspect; ``finish`` has to follow.
+        """Prepares the trial of a suspect; call ``finish`` afterwards.
 
-        Returns after peers had time to hear that the endpoints are kept
-        free and these are idle.
+        Returns once the reservation had time to reach all peers and the
+        endpoints are idle.
 
         Args:
             fingerprint: A request whose verdict is ALONE.
             endpoints: Endpoints of its chain.
-            is_idle: Returns whether an endpoint has no work of any node.
+            is_idle: Returns whether an endpoint has no work from any node.
         """
         claimed = await self.claim(fingerprint)
         if claimed.is_error():
@@ -107,7 +108,7 @@
         return expression.Ok(trial)
 
     async def finish(self, trial: Trial, outcome: TrialOutcome) -> None:
-        """Ends a trial; after a crash it returns once that is judged."""
+        """Ends a trial; after a crash, waits until its cause is decided."""
         completed = outcome is TrialOutcome.COMPLETED
         self.quarantine.end_trial(trial.fingerprint, completed)
         if outcome is TrialOutcome.CRASHED:
@@ -116,10 +117,10 @@
             await self.release(trial)
 
     def may_release(self, trial: Trial, outcome: TrialOutcome) -> bool:
-        """Returns whether the suspect may be tried again.
+        """Returns whether the suspect may have another trial.
 
-        Not after a crash, unless it was that of a rack or zone; nor if it
-        is not known how the trial ended: the endpoint may crash yet.
+        Not after a crash, unless a rack or zone failed, nor if the outcome of
+        the trial is unknown, since the endpoint may still crash.
         """
         if outcome is TrialOutcome.CRASHED:
             counting = self.quarantine.counting(trial.fingerprint)
@@ -129,9 +130,9 @@
     async def wait_until_idle(
         self, trial: Trial, is_idle: Callable[[str], bool]
     ) -> bool:
-        """Waits for peers to hear, then for the endpoints to be idle."""
+        """Waits for propagation to peers, then for idle endpoints."""
         settings = self.quarantine.settings
-        await self.clock.sleep(settings.spread_wait_s)
+        await self.clock.sleep(settings.propagation_wait_s)
         end = self.clock.monotonic() + settings.trial_s / 4
         while self.clock.monotonic() < end:
             if all(is_idle(endpoint) for endpoint in trial.endpoints):
@@ -142,10 +143,10 @@
     async def claim(
         self, fingerprint: str
     ) -> expression.Result[int, TrialError]:
-        """Inserts the row of a suspect; returns its revision."""
+        """Claims a suspect by writing its row; returns the revision."""
         token = f"{self.rng.getrandbits(64):016x}"
-        revision = self.takes_over(fingerprint)
-        write = self.row(fingerprint, token, revision)
+        revision = self.expected_revision(fingerprint)
+        write = self.claim_write(fingerprint, token, revision)
         result = await self.store.transact([write])
         if result.is_ok():
             return expression.Ok(result.ok[0])
@@ -153,7 +154,9 @@
             return expression.Error(result.error)
         return await self.read_back(fingerprint, token)
 
-    def row(self, fingerprint: str, token: str, revision: int) -> stores.Write:
+    def claim_write(
+        self, fingerprint: str, token: str, revision: int
+    ) -> stores.Write:
         """Returns the write that claims a suspect."""
         value = {"node": self.quarantine.node, "token": token}
         return stores.Write(TABLE, fingerprint, value, revision)
@@ -161,30 +164,32 @@
     async def read_back(
         self, fingerprint: str, token: str
     ) -> expression.Result[int, TrialError]:
-        """Finds out whose row it is after a refusal or a lost answer."""
+        """Reads who holds the claim after a failed or unconfirmed write."""
         result = await self.store.read(TABLE, fingerprint)
         if result.is_error():
             return expression.Error(
-                errors.StoreUnavailable("The row of a suspect can't be read.")
+                errors.StoreUnavailable(
+                    "The claim on a suspect request can't be read."
+                )
             )
         row = result.ok
         if row is not None and row.value.get("token") == token:
             return expression.Ok(row.revision)
         if row is not None:
-            self.note_seen(fingerprint, row.revision)
+            self.record_seen(fingerprint, row.revision)
         return expression.Error(self.refusal(fingerprint))
 
-    def note_seen(self, fingerprint: str, revision: int) -> None:
-        """Notes the row of another node."""
+    def record_seen(self, fingerprint: str, revision: int) -> None:
+        """Records the revision of another node's row."""
         known = self.seen.get(fingerprint)
         if known is None or known[0] != revision:
             self.seen[fingerprint] = (revision, self.clock.monotonic())
 
-    def takes_over(self, fingerprint: str) -> int:
-        """Returns the revision to replace, or ``ABSENT``.
+    def expected_revision(self, fingerprint: str) -> int:
+        """Returns the revision that the claim replaces, or ``ABSENT``.
 
-        A row that stood unchanged for a whole conviction, by this node's
-        own monotonic clock, is that of an expired one.
+        A row that was unchanged for the duration of a conviction, on this
+        node's monotonic clock, has expired.
         """
         known = self.seen.get(fingerprint)
         if known is None:
@@ -196,20 +201,20 @@
         return known[0]
 
     async def release(self, trial: Trial) -> None:
-        """Deletes the row; if that fails it stands until it is stale."""
+        """Deletes the row; if that fails, it stays until it expires."""
         await self.store.transact(
             [stores.Write(TABLE, trial.fingerprint, None, trial.revision)]
         )
 
     def refusal(self, fingerprint: str) -> errors.Quarantined:
-        """Returns the error of a suspect that may not run now."""
+        """Returns the error for a suspect that may not run now."""
         return errors.Quarantined(
             f"Request {fingerprint} was in flight when an endpoint crashed.",
             remedy=(
-                "Ask again after the time in Retry-After; it is run alone "
-                "once no other node runs it."
+                "Retry after the time in Retry-After; the request is run "
+                "alone once no other node runs it."
             ),
-            retry_after_s=self.quarantine.settings.spread_wait_s,
+            retry_after_s=self.quarantine.settings.propagation_wait_s,
         )
 
 
@@ -219,12 +224,12 @@
     clock: clocks.Clock,
     rng: random.Random,
 ) -> QuarantineTrials:
-    """Creates the runner of suspects of one node.
+    """Creates the trials of one node.
 
     Args:
         quarantine_state: This node's quarantine.
         store: The platform's table.
         clock: Source of time.
-        rng: Source of tokens.
+        rng: Generates tokens.
     """
     return QuarantineTrials(quarantine_state, store, clock, rng)
--- a/src/almondshift/coordination/quarantine_verdicts.py
+++ b/src/almondshift/coordination/quarantine_verdicts.py
@@ -1,4 +1,4 @@
-"""What may be decided of a request that crashes endpoints, and the figures."""
+"""Verdicts on suspect requests, and the settings of the quarantine."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
     """Whether a request may be run now.
 
     Attributes:
-        retry_after_s: If refused, when to ask again.
-        convicted: If refused, whether for conviction; otherwise a short
-            wait of the node itself is enough.
+        retry_after_s: If refused, seconds until a retry makes sense.
+        convicted: If refused, whether because of a conviction; otherwise it
+            is enough that the node itself waits briefly.
     """
 
     kind: VerdictKind
@@ -36,30 +36,33 @@
 
 
 def refused(retry_after_s: float, convicted: bool = False) -> Verdict:
-    """Returns a refusal."""
+    """Returns a verdict that refuses a request."""
     return Verdict(VerdictKind.REFUSED, retry_after_s, convicted)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QuarantineSettings:
-    """Times and counts.
+    """Settings of the quarantine.
 
     Attributes:
-        spread_wait_s: Wait before a suspect runs again; over twice the time
-            that an urgent fact takes to all nodes, and over ``window_s``.
-        window_s: Crashes within it may have one cause.
-        mass_endpoints: So many endpoints in the window are a failure of a
-            rack or zone.
-        suspicion_s: How long a crash counts; as long as a conviction, or a
-            suspect that could not be tried would soon run freely again.
+        propagation_wait_s: Wait before a suspect runs again; more than twice
+            the time that an urgent fact takes to reach all nodes, and longer
+            than ``window_s``.
+        window_s: Time within which crashes may have a common cause.
+        infrastructure_min_endpoints: Number of crashed endpoints of one zone
+            within the window that counts as a failure of a rack or zone.
+        suspicion_s: How long a crash counts; as long as a conviction, since
+            otherwise a suspect that could not get a trial would soon run
+            normally again.
         conviction_s: How long a convicted request is refused.
-        trial_s: Longest run of a suspect; its endpoints are kept free.
-        busy_retry_s: When to ask again while a suspect runs.
+        trial_s: Longest run of a suspect, during which its endpoints are
+            reserved.
+        busy_retry_s: Time to wait before a retry while a suspect is running.
     """
 
-    spread_wait_s: float = 3.0
+    propagation_wait_s: float = 3.0
     window_s: float = 2.0
-    mass_endpoints: int = 3
+    infrastructure_min_endpoints: int = 3
     suspicion_s: float = 1_800.0
     conviction_s: float = 1_800.0
     trial_s: float = 120.0
@@ -71,11 +74,11 @@
 
     Args:
         service: Name of the service.
-        content: Prompt or body, without what differs when it is sent again.
+        content: Prompt or body, without parts that differ between retries.
 
     Returns:
-        16 hex digits. Callers can't gain by a collision: at worst a request
-        is run alone, or refused as the one that they convicted.
+        16 hex digits. Callers can't benefit from a collision: at worst a
+        request is run alone, or refused like the one that got convicted.
     """
     digest = xxhash.xxh3_64(service.encode())
     digest.update(b"\x00")
--- a/src/almondshift/coordination/quarantine_work.py
+++ b/src/almondshift/coordination/quarantine_work.py
@@ -1,4 +1,4 @@
-"""Which requests have work outstanding at which endpoints, from one node."""
+"""Outstanding work at endpoints, as sent by one node."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class WorkInFlight:
-    """Work outstanding, by the fingerprints of requests.
+    """Outstanding work, by the fingerprints of requests.
 
     Attributes:
-        running: Fingerprints in flight from here, by endpoint, with counts.
-        started: When each began, by endpoint and fingerprint.
+        running: Number of calls in flight per fingerprint, by endpoint.
+        started: Start times, by endpoint and fingerprint.
     """
 
     def __init__(self, clock: clocks.Clock) -> None:
@@ -23,14 +23,14 @@
         self.started: dict[tuple[str, str], float] = {}
 
     def begin(self, endpoint: str, fingerprint: str) -> None:
-        """Notes that work of a request is outstanding at an endpoint."""
+        """Records that a request has outstanding work at an endpoint."""
         counts = self.running.setdefault(endpoint, collections.Counter())
         counts[fingerprint] += 1
         now = self.clock.monotonic()
         self.started.setdefault((endpoint, fingerprint), now)
 
     def end(self, endpoint: str, fingerprint: str) -> bool:
-        """Notes the end of some work; returns whether any was known there."""
+        """Records the end of work; returns whether the endpoint had any."""
         counts = self.running.get(endpoint)
         if counts is None:
             return False
@@ -42,11 +42,11 @@
             del self.running[endpoint]
         return True
 
-    def runs(self, fingerprint: str) -> bool:
+    def is_running(self, fingerprint: str) -> bool:
         """Returns whether a request is in flight from this node."""
         return any(fingerprint in counts for counts in self.running.values())
 
-    def take(self, endpoint: str) -> dict[str, float]:
-        """Ends all work at an endpoint; returns when each request began."""
+    def end_all(self, endpoint: str) -> dict[str, float]:
+        """Ends all work at an endpoint; returns the requests' start times."""
         fingerprints = self.running.pop(endpoint, ())
         return {f: self.started.pop((endpoint, f)) for f in fingerprints}
--- a/src/almondshift/coordination/versioned_config.py
+++ b/src/almondshift/coordination/versioned_config.py
@@ -1,8 +1,8 @@
-"""One configuration text with versions, in force on every node.
+"""A versioned configuration text that all nodes apply.
 
 Versions are accepted by a compare-and-set on one head row. Nodes read the
-head about once a second and also hear of versions from peers; each applies
-only higher versions, whole or not at all.
+head about once a second and also receive versions from peers. Each node
+applies only higher versions, completely or not at all.
 """
 
 from __future__ import annotations
@@ -36,35 +36,35 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigSettings:
-    """How often the head is read and how lost answers are settled.
+    """Read intervals and the handling of lost answers.
 
     Attributes:
         interval_s: Mean seconds between reads of the head.
-        jitter: Share of the interval drawn at random, 0 to 1, so that nodes
-            that started together don't read together.
-        longest_interval_s: Longest interval while the store is away. It
-            counts against the time in which a version must be in force.
-        settle_attempts: Times that a write of unknown outcome is settled.
-        settle_wait_s: Seconds before settling again; doubles each time.
+        jitter: Random share of the interval, 0 to 1, so that nodes that
+            started together don't read at the same time.
+        max_interval_s: Longest interval while the store is unavailable. It
+            adds to the time until a version is active on all nodes.
+        max_write_attempts: Attempts for a write of unknown outcome.
+        write_backoff_s: Seconds before the next attempt; doubles each time.
     """
 
     interval_s: float = 1.0
     jitter: float = 0.2
-    longest_interval_s: float = 5.0
-    settle_attempts: int = 4
-    settle_wait_s: float = 0.05
+    max_interval_s: float = 5.0
+    max_write_attempts: int = 4
+    write_backoff_s: float = 0.05
 
 
 class VersionedConfig(Generic[T]):
-    """The newest known version of the text, and what it parses to.
+    """The newest known version of the text and its parsed value.
 
     Attributes:
-        current: The version in force here, None before the first.
-        value: What ``current`` parses to.
+        current: The version active on this node, None before the first.
+        value: Parsed value of ``current``.
         rejected: The last version that the store accepted but that this
             node can't parse, e.g. written by newer software; else None.
-        store_version: Version that the head named at the last read. Lower
-            than that of ``current`` if the platform lost accepted versions.
+        store_version: Version of the head at the last read. Lower than that
+            of ``current`` if the platform lost accepted versions.
     """
 
     def __init__(
@@ -89,28 +89,28 @@
         self.subscribers: list[
             Callable[[operations.ConfigVersion, T], None]
         ] = []
-        self.reader: asyncio.Task[None] | None = None
+        self.read_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Starts to read the head; does not wait for the first answer."""
-        self.reader = asyncio.create_task(self._read_loop())
+        """Starts reading the head; does not wait for the first answer."""
+        self.read_task = asyncio.create_task(self._read_loop())
 
     async def close(self) -> None:
         """Stops reading."""
-        if self.reader is None:
+        if self.read_task is None:
             return
-        self.reader.cancel()
+        self.read_task.cancel()
         with contextlib.suppress(asyncio.CancelledError):
-            await self.reader
-        self.reader = None
+            await self.read_task
+        self.read_task = None
 
     def subscribe(
         self, callback: Callable[[operations.ConfigVersion, T], None]
     ) -> Callable[[], None]:
-        """Calls back with each version that comes into force.
+        """Registers a callback for each version that becomes active.
 
         Returns:
-            A function that ends the subscription.
+            A function that cancels the subscription.
         """
         self.subscribers.append(callback)
         return lambda: self.subscribers.remove(callback)
@@ -120,12 +120,13 @@
     ) -> VersionResult:
         """Proposes a text based on version ``base``, 0 for the first.
 
-        Repeating a change id that was accepted gives the accepted version.
+        Idempotent by change id: if it was accepted before, returns the
+        accepted version.
 
         Returns:
             The accepted version, or ``ConfigInvalid``, ``ConfigConflict`` or
             ``StoreUnavailable`` if nothing changed, ``StoreOutcomeUnknown``
-            if it can't be known.
+            if that can't be determined.
         """
         parsed = self.validate(text, base + 1)
         if parsed.is_error():
@@ -150,7 +151,7 @@
             return expression.Error(head.error)
         newest = config_rows.head_version(head.ok)
         self.store_version = newest
-        if newest < 1 or not self._needs(newest):
+        if newest < 1 or not self._needs_read(newest):
             return expression.Ok(None)
         version = await self._read_version(newest)
         if version.is_error():
@@ -159,17 +160,17 @@
         return expression.Ok(None)
 
     def offer(self, version: operations.ConfigVersion) -> bool:
-        """Takes a higher version from a peer, as unverified.
+        """Applies a higher version from a peer, as unverified.
 
         Returns:
-            Whether it is in force here now.
+            Whether it is active on this node now.
         """
         return self._adopt(dataclasses.replace(version, verified=False))
 
     async def show(self, version: int | None) -> VersionResult:
-        """Returns a version, or with None the one in force here."""
+        """Returns a version, or with None the one active on this node."""
         if version is None or self._is_current(version):
-            return self._show_current()
+            return self._active_version()
         return await self._read_version(version)
 
     async def find_change(
@@ -177,7 +178,7 @@
     ) -> expression.Result[
         operations.ConfigVersion | None, errors.AlmondshiftError
     ]:
-        """Returns the version that a change id became, None if none yet."""
+        """Returns the version accepted for a change id, or None."""
         key = config_rows.change_key(change_id)
         row = await self.store.read(config_rows.TABLE, key)
         if row.is_error():
@@ -216,58 +217,60 @@
     async def _write(
         self, proposal: operations.ConfigVersion, revision: int
     ) -> VersionResult:
-        """Writes until the outcome is known or the attempts are used up.
+        """Writes until the outcome is known or the attempts are exhausted.
 
         An answer may be lost after the write took effect; the operator would
-        then hear of a failure although the text is in force. Writing again
-        from the same revision of the head can't do harm: of all these writes
-        at most one takes effect, and ``ConditionFailed`` leads to the row of
-        the change id, which tells whose it was.
+        then get an error although the text is active. Writing again from the
+        same revision of the head is safe: at most one of these writes takes
+        effect, and after ``ConditionFailed`` the row of the change id shows
+        whether it was one of them.
         """
-        wait_s = self.settings.settle_wait_s
+        wait_s = self.settings.write_backoff_s
         writes = config_rows.change_writes(proposal, revision)
-        may_have_left = False
-        for _ in range(self.settings.settle_attempts):
+        may_have_written = False
+        for _ in range(self.settings.max_write_attempts):
             written = await self.store.transact(writes)
             if written.is_ok():
                 return expression.Ok(proposal)
             if isinstance(written.error, errors.ConditionFailed):
-                return await self._settle(proposal, may_have_left)
+                return await self._resolve_condition_failure(
+                    proposal, may_have_written
+                )
             if isinstance(written.error, errors.StoreOutcomeUnknown):
-                may_have_left = True
-            elif not may_have_left:
+                may_have_written = True
+            elif not may_have_written:
                 return expression.Error(written.error)
             await self.clock.sleep(wait_s)
             wait_s *= 2
-        return expression.Error(_unknown(proposal.change_id))
+        return expression.Error(_outcome_unknown(proposal.change_id))
 
-    async def _settle(
-        self, proposal: operations.ConfigVersion, may_have_left: bool
+    async def _resolve_condition_failure(
+        self, proposal: operations.ConfigVersion, may_have_written: bool
     ) -> VersionResult:
         head = await self._head()
         if head.is_ok():
-            return await self._conflict(proposal, head.ok, may_have_left)
-        if may_have_left:
-            return expression.Error(_unknown(proposal.change_id))
+            return await self._conflict(proposal, head.ok, may_have_written)
+        if may_have_written:
+            return expression.Error(_outcome_unknown(proposal.change_id))
         return expression.Error(_conflict(proposal.version - 1, None))
 
     async def _conflict(
         self,
         proposal: operations.ConfigVersion,
         head: stores.Row | None,
-        may_have_left: bool = False,
+        may_have_written: bool = False,
     ) -> VersionResult:
-        """Finds out whether the head moved on by this very change."""
+        """Checks whether the head advanced because of this same change."""
         found = await self.find_change(proposal.change_id)
         if found.is_error():
-            if may_have_left:
-                return expression.Error(_unknown(proposal.change_id))
+            if may_have_written:
+                return expression.Error(_outcome_unknown(proposal.change_id))
             return expression.Error(found.error)
         if found.ok is None:
             newest = config_rows.head_version(head)
             return expression.Error(_conflict(proposal.version - 1, newest))
         if found.ok.text != proposal.text:
-            return expression.Error(_change_id_used(found.ok))
+            return expression.Error(_change_id_reused(found.ok))
         return expression.Ok(found.ok)
 
     async def _head(
@@ -287,20 +290,20 @@
             return expression.Error(_no_such_version(version))
         return expression.Ok(config_rows.read_version(row.ok))
 
-    def _needs(self, newest: int) -> bool:
+    def _needs_read(self, newest: int) -> bool:
         if self.current is None or newest > self.current.version:
             return True
         return newest == self.current.version and not self.current.verified
 
     def _adopt(self, version: operations.ConfigVersion) -> bool:
-        """Puts a version in force if it is higher, whole or not at all.
+        """Activates a version if it is higher, completely or not at all.
 
-        A slow read or a late peer may bring an older version after a newer
-        one was in force; going back would undo an operator's change. The
-        comparison with the present version is enough, since this runs
-        without a pause between the test and the change.
+        A slow read or a late peer may deliver an older version after a newer
+        one became active; going back would undo an operator's change. A
+        comparison with the current version is enough, since there is no await
+        between the check and the change.
         """
-        if self._confirms(version):
+        if self._confirms_current(version):
             self.current = version
             return True
         if not self._is_higher(version):
@@ -316,7 +319,7 @@
             callback(version, parsed.ok)
         return True
 
-    def _confirms(self, version: operations.ConfigVersion) -> bool:
+    def _confirms_current(self, version: operations.ConfigVersion) -> bool:
         return (
             self.current is not None
             and version.verified
@@ -337,9 +340,9 @@
             and self.current.version == version
         )
 
-    def _show_current(self) -> VersionResult:
+    def _active_version(self) -> VersionResult:
         if self.current is None:
-            return expression.Error(_no_version_yet())
+            return expression.Error(_no_active_version())
         return expression.Ok(self.current)
 
     async def _read_loop(self) -> None:
@@ -353,12 +356,12 @@
     def _next_interval(self, interval_s: float, store_answers: bool) -> float:
         if store_answers:
             return self.settings.interval_s
-        return min(2 * interval_s, self.settings.longest_interval_s)
+        return min(2 * interval_s, self.settings.max_interval_s)
 
 
-def _unknown(change_id: str) -> errors.StoreOutcomeUnknown:
+def _outcome_unknown(change_id: str) -> errors.StoreOutcomeUnknown:
     return errors.StoreOutcomeUnknown(
-        f"Whether change {change_id} was accepted is not known.",
+        f"It is unknown whether change {change_id} was accepted.",
         remedy=(
             f"Apply the same text again with change id {change_id}; "
             "it can't be accepted twice."
@@ -378,12 +381,12 @@
     )
 
 
-def _change_id_used(
+def _change_id_reused(
     version: operations.ConfigVersion,
 ) -> errors.ConfigConflict:
     return errors.ConfigConflict(
-        f"Change id {version.change_id} was used for another text, "
-        f"accepted as version {version.version}.",
+        f"Change id {version.change_id} was already used for a different "
+        f"text, accepted as version {version.version}.",
         remedy="Apply again with a new change id.",
     )
 
@@ -391,13 +394,13 @@
 def _no_such_version(version: int) -> errors.AlmondshiftError:
     return errors.MalformedRequest(
         f"There is no version {version}.",
-        remedy="Run 'almondshift config history' for the versions kept.",
+        remedy="Run 'almondshift config history' to list the versions.",
     )
 
 
-def _no_version_yet() -> errors.AlmondshiftError:
+def _no_active_version() -> errors.AlmondshiftError:
     return errors.ServiceNotReady(
-        "No configuration is in force here yet.",
+        "No configuration is active on this node yet.",
         remedy="Run 'almondshift config apply' with a first text.",
     )
 
@@ -412,10 +415,10 @@
     """Creates a configuration without a version; ``start`` reads the store.
 
     Args:
-        store: Where versions are accepted.
+        store: Stores the versions.
         clock: Time for the read loop.
-        rng: Spreads the reads of many nodes.
-        validate: Parses a text as a version; must not change anything.
+        rng: Jitters the reads of the nodes.
+        validate: Parses the text of a version; must not have side effects.
         settings: None for the defaults.
     """
     return VersionedConfig(
