--- a/src/almondshift/coordination/quarantine_crashes.py
+++ b/src/almondshift/coordination/quarantine_crashes.py
@@ -86,7 +86,7 @@
         self.exclude_if_infrastructure(crash)
 
     def was_excluded_before(self, fingerprint: str, started: float) -> bool:
-        """Returns whether a request was exempted by an earlier crash."""
+        """Returns whether a request was restarted after an excluded crash."""
         return any(
             crash.excluded and fingerprint in crash.fingerprints
             for crash in self.by_key.values()
--- a/tests/coordination/crashing.py
+++ b/tests/coordination/crashing.py
@@ -1,4 +1,4 @@
-"""Nodes, endpoints and a request that crashes endpoints, on one clock."""
+"""Simulates nodes, endpoints and a request that crashes endpoints."""
 
 from __future__ import annotations
 
@@ -21,25 +21,25 @@
 POISON = "poison"
 CRASH_S = 0.5
 RUN_S = 1.0
-REVIVE_S = 20.0
-PATIENCE_S = 240.0
-STEP_S = 0.25
+RESTART_S = 20.0
+REQUEST_TIMEOUT_S = 240.0
+RETRY_S = 0.25
 ZONE_SIZE = 5
-FAIL_S = 0.2
-WINDOW_S = 2.5
-MOST_SPREAD_S = 1.0
+ZONE_CRASH_INTERVAL_S = 0.2
+ZONE_FAILURE_WINDOW_S = 2.5
+MAX_PROPAGATION_S = 1.0
 
 Outcome = str
 
 
 class CrashingSystem:
-    """What callers receive, and which endpoints are lost.
+    """Simulated system that records outcomes and crashed endpoints.
 
     Attributes:
-        losses: When the request crashed which endpoint.
-        zone_failures: When which zone began to die.
-        outcomes: How requests ended, by fingerprint.
-        free_copies: Copies of the request that run freely.
+        losses: Time and endpoint of each crash caused by the request.
+        zone_failures: Start time and zone of each zone failure.
+        outcomes: Outcomes of requests, by fingerprint.
+        free_copies: Copies of the request that run outside a trial.
         crash_s: Time until the request crashes its endpoint.
     """
 
@@ -52,14 +52,14 @@
         }
         self.down: set[str] = set()
         self.crashes: collections.Counter[str] = collections.Counter()
-        self.at_endpoint: collections.Counter[str] = collections.Counter()
+        self.running_at: collections.Counter[str] = collections.Counter()
         self.losses: list[tuple[float, str]] = []
         self.zone_failures: list[tuple[float, str]] = []
         self.outcomes: dict[str, Outcome] = {}
         self.free_copies = 0
         self.crash_s = CRASH_S
         self.tasks: set[asyncio.Task[Any]] = set()
-        self.parted: set[str] = set()
+        self.partitioned: set[str] = set()
         self.quarantines = {
             f"n{n}": self.create_quarantine(f"n{n}") for n in range(nodes)
         }
@@ -71,24 +71,25 @@
         }
 
     @property
-    def lost_to_poison(self) -> list[str]:
-        """Endpoints lost to the request that would live without it."""
+    def endpoints_lost_to_poison(self) -> list[str]:
+        """Endpoints that only the request crashed, not a zone failure."""
         return self.lost_since(0.0)
 
     def lost_since(self, since: float) -> list[str]:
-        """Returns those lost after a time."""
+        """Returns the endpoints that it crashed after a time."""
         return [
             endpoint
             for at, endpoint in self.losses
             if at > since
             and not any(
-                zone == self.zones[endpoint] and abs(at - began) <= WINDOW_S
+                zone == self.zones[endpoint]
+                and abs(at - began) <= ZONE_FAILURE_WINDOW_S
                 for began, zone in self.zone_failures
             )
         ]
 
     def alive(self, zone: str) -> int:
-        """Returns how many endpoints of a zone are up."""
+        """Returns the number of endpoints of a zone that are up."""
         return sum(
             other == zone and endpoint not in self.down
             for endpoint, other in self.zones.items()
@@ -99,28 +100,28 @@
             kind: peers.FactKind, key: str, value: bytes, ttl_s: float
         ) -> None:
             fact = peers.Fact(kind, key, 1, name, ttl_s, value)
-            self.spread(name, key, fact)
+            self.propagate(name, key, fact)
 
         def withdraw(kind: peers.FactKind, key: str) -> None:
             del kind
-            self.spread(name, key, None)
+            self.propagate(name, key, None)
 
         return quarantine.create_quarantine(self.clock, name, publish, withdraw)
 
-    def spread(self, origin: str, key: str, fact: peers.Fact | None) -> None:
-        """Tells the origin at once and each peer within the spread time."""
+    def propagate(self, origin: str, key: str, fact: peers.Fact | None) -> None:
+        """Merges a fact on its origin, and with a random delay on peers."""
         self.quarantines[origin].merge(key, fact)
         for name, state in self.quarantines.items():
-            if name != origin and not {name, origin} & self.parted:
-                self.spawn(self.tell_late(state, key, fact))
+            if name != origin and not {name, origin} & self.partitioned:
+                self.spawn(self.deliver_late(state, key, fact))
 
-    async def tell_late(
+    async def deliver_late(
         self,
         state: quarantine.Quarantine,
         key: str,
         fact: peers.Fact | None,
     ) -> None:
-        await self.clock.sleep(self.rng.uniform(0.0, MOST_SPREAD_S))
+        await self.clock.sleep(self.rng.uniform(0.0, MAX_PROPAGATION_S))
         state.merge(key, fact)
 
     def spawn(self, work: Coroutine[Any, Any, Any]) -> None:
@@ -129,13 +130,13 @@
         task.add_done_callback(self.tasks.discard)
 
     async def request(self, node: str, name: str) -> None:
-        """A caller's request, until it is answered or refused for good."""
+        """Runs a caller's request until it is answered or convicted."""
         self.outcomes[name] = "waiting"
         self.outcomes[name] = await self.serve(node, name)
 
     async def serve(self, node: str, name: str) -> Outcome:
         state = self.quarantines[node]
-        end = self.clock.now + PATIENCE_S
+        end = self.clock.now + REQUEST_TIMEOUT_S
         while self.clock.now < end:
             verdict = state.may_run(name)
             if verdict.convicted:
@@ -147,7 +148,7 @@
                     return "answered"
             elif await self.run_free(node, name):
                 return "answered"
-            await self.clock.sleep(STEP_S)
+            await self.clock.sleep(RETRY_S)
         return "gave up"
 
     def choose(self, node: str, name: str) -> str | None:
@@ -174,10 +175,10 @@
             return False
         trials = self.trials[node]
         begun = await trials.begin(
-            name, [endpoint], lambda e: not self.at_endpoint[e]
+            name, [endpoint], lambda e: not self.running_at[e]
         )
         if begun.is_error():
-            await self.clock.sleep(begun.error.retry_after_s or STEP_S)
+            await self.clock.sleep(begun.error.retry_after_s or RETRY_S)
             return False
         if endpoint in self.down:
             outcome = quarantine_trials.TrialOutcome.NOT_RUN
@@ -193,11 +194,11 @@
         return completed
 
     async def run_at(self, endpoint: str, node: str, name: str) -> bool:
-        """Runs at an endpoint; returns whether it lived to the end."""
+        """Runs a request; returns whether its endpoint did not crash."""
         state = self.quarantines[node]
         crashes = self.crashes[endpoint]
         state.in_flight(endpoint, name)
-        self.at_endpoint[endpoint] += 1
+        self.running_at[endpoint] += 1
         await self.clock.sleep(self.crash_s if name == POISON else RUN_S)
         if self.crashes[endpoint] != crashes:
             return False
@@ -205,31 +206,31 @@
             self.losses.append((self.clock.now, endpoint))
             self.crash(endpoint)
             return False
-        self.at_endpoint[endpoint] -= 1
+        self.running_at[endpoint] -= 1
         state.done(endpoint, name)
         return True
 
     def crash(self, endpoint: str) -> None:
-        """An endpoint crashes; each node sees it."""
+        """Crashes an endpoint; each node detects it."""
         self.crashes[endpoint] += 1
-        self.at_endpoint[endpoint] = 0
+        self.running_at[endpoint] = 0
         self.down.add(endpoint)
         zone = self.zones[endpoint]
         for state in self.quarantines.values():
             state.crashed(endpoint, self.clock.now, zone)
-        self.spawn(self.revive(endpoint))
+        self.spawn(self.restart(endpoint))
 
-    async def revive(self, endpoint: str) -> None:
-        await self.clock.sleep(REVIVE_S)
+    async def restart(self, endpoint: str) -> None:
+        await self.clock.sleep(RESTART_S)
         self.down.discard(endpoint)
 
     async def fail_zone(self, zone: str) -> None:
-        """All endpoints of a zone die within a second."""
+        """Crashes all endpoints of a zone within a second."""
         self.zone_failures.append((self.clock.now, zone))
         for endpoint, other in self.zones.items():
             if other == zone and endpoint not in self.down:
                 self.crash(endpoint)
-                await self.clock.sleep(FAIL_S)
+                await self.clock.sleep(ZONE_CRASH_INTERVAL_S)
 
     async def close(self) -> None:
         for task in list(self.tasks):
--- a/tests/coordination/network.py
+++ b/tests/coordination/network.py
@@ -1,4 +1,4 @@
-"""An in-memory network of nodes with faults, on a clock of its own."""
+"""An in-memory network of nodes with faults and a manual clock."""
 
 from __future__ import annotations
 
@@ -29,11 +29,11 @@
 
 
 class ManualClock(clocks.Clock):
-    """A clock that stands still until it is moved.
+    """A clock that only advances when told to.
 
     Attributes:
         now: Monotonic seconds.
-        wall_offset: Wall clock less the monotonic one.
+        wall_offset: Wall clock minus the monotonic clock.
     """
 
     def __init__(self) -> None:
@@ -54,7 +54,7 @@
         await future
 
     async def advance(self, seconds: float) -> None:
-        """Moves the clock, and wakes sleepers in the order of their times."""
+        """Advances the clock and wakes sleepers in the order of their times."""
         end = self.now + seconds
         await settle()
         while due := [s for s in self.sleepers if s[0] <= end]:
@@ -68,25 +68,25 @@
 
 
 async def settle() -> None:
-    """Lets all tasks run as far as they can without the clock."""
+    """Lets all tasks run until they wait for the clock."""
     for _ in range(SETTLE_PASSES):
         await asyncio.sleep(0)
 
 
 @dataclasses.dataclass(slots=True)
-class Switchboard:
-    """Delivers calls between links, or does not.
+class SimulatedNetwork:
+    """Delivers calls between links, subject to faults.
 
     Attributes:
-        drop_share: Share of messages lost, each way.
-        groups: Group of each address; only equal ones reach each other.
-        frozen: Addresses whose processes don't run.
+        drop_rate: Share of messages lost, in each direction.
+        groups: Partition of each address; only equal ones are connected.
+        frozen: Addresses of frozen processes.
         waiting: Messages that wait for frozen processes.
-        sent_bytes: Bytes sent by address; None to measure none.
+        sent_bytes: Bytes sent by address; None to disable counting.
     """
 
     rng: random.Random
-    drop_share: float = 0.0
+    drop_rate: float = 0.0
     handlers: dict[str, Handler] = dataclasses.field(default_factory=dict)
     groups: dict[str, int] = dataclasses.field(default_factory=dict)
     frozen: set[str] = dataclasses.field(default_factory=set)
@@ -100,24 +100,24 @@
             return False
         return self.groups.get(sender, 0) == self.groups.get(receiver, 0)
 
-    def loses(self) -> bool:
-        return self.rng.random() < self.drop_share
+    def drops_message(self) -> bool:
+        return self.rng.random() < self.drop_rate
 
     async def deliver(
         self, sender: str, receiver: str, message: peers.PeerMessage
     ) -> peers.PeerMessage | None:
-        if not self.reaches(sender, receiver) or self.loses():
+        if not self.reaches(sender, receiver) or self.drops_message():
             return None
-        self.measure(sender, message)
+        self.count_bytes(sender, message)
         if receiver in self.frozen:
             self.waiting.append((receiver, message))
             return None
         answer = await self.handlers[receiver](message)
-        self.measure(receiver, answer)
-        return None if self.loses() else answer
+        self.count_bytes(receiver, answer)
+        return None if self.drops_message() else answer
 
-    def measure(self, sender: str, message: peers.PeerMessage) -> None:
-        """Counts the bytes that a message takes on the wire."""
+    def count_bytes(self, sender: str, message: peers.PeerMessage) -> None:
+        """Counts the encoded size of a message."""
         if self.sent_bytes is None:
             return
         frame = peer_codec.Frame(1, message)
@@ -126,7 +126,7 @@
         self.sent_bytes[sender] = total + HEADER_BYTES + size
 
     async def thaw(self, address: str) -> None:
-        """Lets a process go on; it meets what waited before its timers."""
+        """Resumes a process; waiting messages are handled before timers."""
         self.frozen.discard(address)
         waited = [m for receiver, m in self.waiting if receiver == address]
         self.waiting = [w for w in self.waiting if w[0] != address]
@@ -135,44 +135,48 @@
 
 
 class MemoryLink(peers.PeerLink):
-    """A link over a switchboard."""
+    """A link over the simulated network."""
 
-    def __init__(self, switchboard: Switchboard, address: str) -> None:
-        self.switchboard = switchboard
+    def __init__(
+        self, simulated_network: SimulatedNetwork, address: str
+    ) -> None:
+        self.simulated_network = simulated_network
         self.address = address
 
     async def start(
         self,
         handler: Handler,
     ) -> None:
-        self.switchboard.handlers[self.address] = handler
+        self.simulated_network.handlers[self.address] = handler
 
     async def close(self) -> None:
-        self.switchboard.handlers.pop(self.address, None)
+        self.simulated_network.handlers.pop(self.address, None)
 
     async def call(
         self, address: str, message: peers.PeerMessage, timeout_s: float
     ) -> expression.Result[peers.PeerMessage, errors.PeerUnreachable]:
         del timeout_s
-        answer = await self.switchboard.deliver(self.address, address, message)
+        answer = await self.simulated_network.deliver(
+            self.address, address, message
+        )
         if answer is None:
             return expression.Error(errors.PeerUnreachable("lost"))
         return expression.Ok(answer)
 
 
 class Cluster:
-    """Running nodes on one switchboard and one clock.
+    """Nodes on one simulated network and one clock.
 
     Attributes:
-        nodes: Running nodes by name, frozen ones too.
-        seeds: Addresses that new nodes are given.
+        nodes: Started nodes by name, including frozen ones.
+        seeds: Seed addresses that nodes get.
     """
 
     def __init__(
         self, seed: int, settings: peer_types.MembershipSettings | None = None
     ) -> None:
         self.rng = random.Random(seed)
-        self.switchboard = Switchboard(self.rng)
+        self.simulated_network = SimulatedNetwork(self.rng)
         self.clock = ManualClock()
         self.settings = settings
         self.nodes: dict[str, membership.Membership] = {}
@@ -180,7 +184,7 @@
         self.rounds = 0
 
     def frozen(self, name: str) -> bool:
-        return address_of(name) in self.switchboard.frozen
+        return address_of(name) in self.simulated_network.frozen
 
     def running(self) -> list[membership.Membership]:
         return [n for name, n in self.nodes.items() if not self.frozen(name)]
@@ -189,10 +193,10 @@
         return list(self.seeds)
 
     async def add(self, name: str, zone: str = "a") -> membership.Membership:
-        """Starts a node, or starts it anew; its rounds are driven here."""
+        """Starts or restarts a node; its rounds are run by ``run``."""
         address = address_of(name)
         node = membership.create_membership(
-            MemoryLink(self.switchboard, address),
+            MemoryLink(self.simulated_network, address),
             self.clock,
             random.Random(self.rng.random()),
             peer_types.NodeIdentity(name, address, f"{name}:80", zone),
@@ -200,7 +204,7 @@
             self.settings,
         )
         self.nodes[name] = node
-        self.switchboard.frozen.discard(address)
+        self.simulated_network.frozen.discard(address)
         await node.link.start(node.handle)
         node.join()
         await node.refresh_seeds()
@@ -209,17 +213,17 @@
     def kill(self, name: str) -> None:
         del self.nodes[name]
         address = address_of(name)
-        self.switchboard.handlers.pop(address, None)
-        self.switchboard.frozen.discard(address)
+        self.simulated_network.handlers.pop(address, None)
+        self.simulated_network.frozen.discard(address)
 
     def freeze(self, name: str) -> None:
-        self.switchboard.frozen.add(address_of(name))
+        self.simulated_network.frozen.add(address_of(name))
 
     async def thaw(self, name: str) -> None:
-        await self.switchboard.thaw(address_of(name))
+        await self.simulated_network.thaw(address_of(name))
 
     async def run(self, rounds: int) -> None:
-        """Does rounds of one second on each running node."""
+        """Runs rounds of one second on each running node."""
         for _ in range(rounds):
             for node in self.running():
                 await node.refresh_seeds()
@@ -228,22 +232,22 @@
             self.rounds += 1
 
     async def run_until(self, condition: Callable[[], bool], most: int) -> int:
-        """Does rounds until a condition holds; returns how many."""
+        """Runs rounds until a condition is true; returns the number."""
         for done in range(most + 1):
             if condition():
                 return done
             await self.run(1)
-        raise AssertionError(f"not within {most} rounds")
+        raise AssertionError(f"condition not met within {most} rounds")
 
     def views(self) -> dict[str, set[str]]:
-        """Returns the names of the peers that each running node sees."""
+        """Returns the names of the peers that each running node knows."""
         return {
             node.node.name: {peer.name for peer in node.peers()}
             for node in self.running()
         }
 
     def is_joined(self) -> bool:
-        """Returns whether each running node sees just the other ones."""
+        """Returns whether each running node knows exactly the other ones."""
         names = {node.node.name for node in self.running()}
         return all(
             seen == names - {name} for name, seen in self.views().items()
--- a/tests/coordination/tables.py
+++ b/tests/coordination/tables.py
@@ -1,4 +1,4 @@
-"""A table in memory with the faults of the platform's."""
+"""An in-memory table that simulates faults of the platform's table."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class MemoryTable(stores.TableStore):
-    """A table.
+    """An in-memory table store with faults.
 
     Attributes:
         is_down: Whether calls fail before they have any effect.
-        loses_answers: Whether writes take effect and their answers are lost.
+        loses_answers: Whether writes take effect but their answers are lost.
     """
 
     def __init__(self) -> None:
--- a/tests/coordination/test_claim_machine.py
+++ b/tests/coordination/test_claim_machine.py
@@ -23,7 +23,13 @@
 
 @dataclasses.dataclass(slots=True)
 class Request:
-    """A request at a node; dead if its process ended."""
+    """A request at a node.
+
+    Attributes:
+        owner: Claims of the process that received the request.
+        dispatched: Whether it was dispatched.
+        done: Whether it ended, or its process did.
+    """
 
     node: int
     key: str
@@ -35,7 +41,7 @@
 
 
 class ClaimMachine(machines.LoopMachine):
-    """Requests repeated through three nodes that fail in every way."""
+    """Requests are retried through three nodes with all kinds of faults."""
 
     grouped: ClassVar[bool] = False
 
@@ -63,7 +69,7 @@
 
     @stateful.rule(node=NODES, key=KEYS)
     def race(self, node: int, key: str) -> None:
-        """The same request goes through two nodes at once."""
+        """Sends the same request through two nodes at once."""
         self.send(node, key, 0)
         self.send((node + 1) % 3, key, 0)
         self.settle()
@@ -108,7 +114,7 @@
 
     @stateful.rule(node=NODES)
     def restart(self, node: int) -> None:
-        """The process dies and another starts under the same name."""
+        """Replaces a process by a new one with the same name."""
         for request in self.requests:
             if request.owner is self.nodes.claims[node]:
                 request.task.cancel()
@@ -190,7 +196,7 @@
 
 
 class GroupedClaimMachine(ClaimMachine):
-    """The same with each node's writes grouped."""
+    """The same with group commit on each node."""
 
     grouped = True
 
--- a/tests/coordination/test_claims.py
+++ b/tests/coordination/test_claims.py
@@ -27,7 +27,7 @@
 
 
 def run(case: Coroutine[None, None, None]) -> None:
-    """Runs a case; one that waits for time that never passes fails."""
+    """Runs a case with a time limit, in case it waits forever."""
 
     async def limited() -> None:
         await asyncio.wait_for(case, LIMIT_S)
@@ -36,7 +36,7 @@
 
 
 class Nodes:
-    """Nodes that claim over shared tables and ask each other."""
+    """Nodes that share tables and ask each other about attempts."""
 
     def __init__(self, count: int = 2, grouped: bool = False) -> None:
         self.grouped = grouped
@@ -82,7 +82,7 @@
         return await self.claims[index].claim("a", "s", key, body, deadline)
 
     async def claim_in_time(self, index: int) -> claims.ClaimResult:
-        """Claims while time passes beyond the deadline."""
+        """Claims while the clock advances beyond the deadline."""
         task = asyncio.create_task(self.claim(index))
         await self.clock.advance(10.0)
         return await task
@@ -120,8 +120,8 @@
 
 
 def test_one_of_two_racing_requests_is_claimed() -> None:
-    # The caller sends a request through two nodes at once. Both find no
-    # claim; the insert of only one takes effect, and the other waits.
+    # The caller sends a request through two nodes at once. Both read no
+    # claim; only one insert takes effect, and the other node waits.
     async def case() -> None:
         nodes = Nodes()
         race = [asyncio.create_task(nodes.claim(i)) for i in range(2)]
@@ -135,8 +135,8 @@
 
 
 def test_repeat_waits_for_the_first() -> None:
-    # The caller's connection breaks and it sends the request again through
-    # another node while the first still runs. It gets the first's answer.
+    # The caller's connection breaks and it retries through another node while
+    # the first request still runs. It gets the result of the first one.
     async def case() -> None:
         nodes = Nodes()
         claimed = await nodes.claimed(0)
@@ -152,9 +152,9 @@
 
 @pytest.mark.parametrize("fate", ["running", "silent", "restarted"])
 def test_repeat_never_runs_while_the_first_may(fate: str) -> None:
-    # The first runs on, or its node is frozen, dead or restarted without
-    # memory. The repeat hears that the outcome is unknown, within its own
-    # deadline, and is not run.
+    # The first request is still running, or its node is frozen, dead or
+    # restarted and has lost its state. The retry gets "outcome unknown" within
+    # its own deadline and is not run.
     async def case() -> None:
         nodes = Nodes()
         await nodes.claimed(0)
@@ -183,8 +183,9 @@
 
 @pytest.mark.parametrize("reachable", [True, False])
 def test_claim_that_could_not_be_released(reachable: bool) -> None:
-    # The endpoint refused, but the store does not take the release. Another
-    # node runs the request only on the claimant's word that it never will.
+    # The endpoint refused, but the store is unavailable for the release.
+    # Another node runs the request only if the claimant confirms that it
+    # never will.
     async def case() -> None:
         nodes = Nodes()
         first = await nodes.claimed(0)
@@ -213,8 +214,8 @@
 )
 def test_insert_fails(outcomes: list[Outcome], claimed: bool) -> None:
     # The store refuses the insert or its answer is lost. The node finds its
-    # own attempt in the row and dispatches, or gives up for good: then the
-    # caller hears "not run", and the same key can run through another node.
+    # own attempt in the row and dispatches, or abandons the attempt: then the
+    # caller gets "not run", and the same key can run through another node.
     async def case() -> None:
         nodes = Nodes()
         nodes.stores[0].outcomes.extend(outcomes)
@@ -233,8 +234,8 @@
 
 
 def test_cancelled_caller_abandons_its_claim() -> None:
-    # The caller disconnects while its insert is under way, and the insert
-    # takes effect. A repeat through another node runs at once.
+    # The caller disconnects during its insert, which takes effect. A retry
+    # through another node runs at once.
     async def case() -> None:
         nodes = Nodes()
         nodes.stores[0].paused = True
@@ -262,8 +263,8 @@
 
 
 def test_result_is_kept_while_the_store_is_away() -> None:
-    # The store goes down while the request runs. A repeat at the same node
-    # gets the result; once the store is back, so does one at another node.
+    # The store goes down while the request runs. A retry at the same node
+    # gets the result; once the store is up again, so does one at another node.
     async def case() -> None:
         nodes = Nodes()
         claimed = await nodes.claimed(0)
--- a/tests/coordination/test_drain.py
+++ b/tests/coordination/test_drain.py
@@ -18,8 +18,8 @@
 )
 
 
-class Stopping:
-    """A node that is being stopped on a clock of its own."""
+class DrainingNode:
+    """A node that is drained, with a manual clock."""
 
     def __init__(
         self, announce: Callable[[], Awaitable[None]] | None = None
@@ -42,7 +42,7 @@
         self.drain.end(request_id)
 
     async def stop(self, seconds: float) -> None:
-        """Begins the stop and lets time pass."""
+        """Starts the drain and advances the clock."""
         self.task = asyncio.ensure_future(self.drain.run())
         await self.clock.advance(seconds)
 
@@ -61,17 +61,18 @@
         (31.5, False, False, drain.DrainState.CLOSED),
     ],
 )
-def test_stop_with_a_long_request(
+def test_drain_with_a_long_request(
     after_s: float, listed: bool, accepts: bool, state: drain.DrainState
 ) -> None:
-    """A caller with an address it was just given must still be served.
+    """A caller that was just given the node's address must still be served.
 
-    The node leaves the entries at once, accepts while callers may hold its
-    address, then refuses with not_run. A long request keeps it open.
+    The node is no longer listed at once, accepts requests while callers may
+    have its address cached, then refuses with not_run. A long request keeps
+    it open.
     """
 
     async def scenario() -> None:
-        node = Stopping()
+        node = DrainingNode()
         assert node.drain.is_listed
         assert node.drain.begin("long").is_ok()
         await node.stop(after_s)
@@ -90,11 +91,11 @@
 @pytest.mark.parametrize(
     ("ends_s", "closed_s"), [(0.0, 6.0), (3.0, 6.0), (10.0, 10.0)]
 )
-def test_node_closes_once_the_last_request_ended(
+def test_node_closes_after_the_last_request(
     ends_s: float, closed_s: float
 ) -> None:
     async def scenario() -> None:
-        node = Stopping()
+        node = DrainingNode()
         node.drain.begin("one")
         await node.stop(ends_s)
         node.drain.end("one")
@@ -107,15 +108,15 @@
     asyncio.run(scenario())
 
 
-def test_request_longer_than_the_grace_gets_a_final_error() -> None:
-    """A stream must not just break: its caller would wait for the rest.
+def test_request_that_outlasts_the_grace_time_gets_a_final_error() -> None:
+    """A stream must not just break off: its caller would wait for the rest.
 
-    At the end of the grace time the hook gives it an error that says so;
-    whether it ran is unknown, and the report names it.
+    At the end of the grace time the hook sends it an error with an unknown
+    outcome, and the report lists the request.
     """
 
     async def scenario() -> None:
-        node = Stopping()
+        node = DrainingNode()
         node.drain.begin("stream")
         await node.stop(40.0)
         report = await node.report()
@@ -136,11 +137,11 @@
 
 
 @pytest.mark.parametrize(("announce", "closed_s"), [(hang, 8.0), (fail, 6.0)])
-def test_announcement_that_fails_does_not_hold_the_stop(
+def test_failed_announcement_does_not_delay_the_drain(
     announce: Callable[[], Awaitable[None]], closed_s: float
 ) -> None:
     async def scenario() -> None:
-        node = Stopping(announce)
+        node = DrainingNode(announce)
         await node.stop(12.0)
         report = await node.report()
         assert report.seconds == pytest.approx(closed_s, abs=0.2)
@@ -161,23 +162,23 @@
         (5.0, 25.5, 24.5, True),
     ],
 )
-def test_what_can_not_end_before_the_node_is_not_taken(
+def test_request_that_outlasts_the_node_is_refused(
     stopped_s: float | None,
     expected_s: float,
     deadline_s: float,
     accepts: bool,
 ) -> None:
-    """A caller comes to a node that stops, with a request that takes long.
+    """A long request that arrives during the drain must not be aborted later.
 
-    It came in time to be taken, ran until the end of the grace time and was
-    cut there: its caller got a part of the answer and an error that leaves
-    open whether it may be sent again. Told at once that nothing was run, it
-    has the whole answer from another node. A request whose own deadline
-    comes first is not cut by the node, and is taken.
+    It used to be accepted, ran until the end of the grace time and was
+    aborted: its caller got a partial response and an error that leaves open
+    whether it may be retried. If it is refused at once with not_run, the
+    caller gets the complete response from another node. A request whose own
+    deadline is earlier is not aborted by the node and is accepted.
     """
 
     async def scenario() -> None:
-        node = Stopping()
+        node = DrainingNode()
         if stopped_s is not None:
             await node.stop(stopped_s)
         deadline = node.clock.monotonic() + deadline_s
@@ -193,7 +194,7 @@
 
 def test_request_accepted_after_the_announcement_is_finished() -> None:
     async def scenario() -> None:
-        node = Stopping()
+        node = DrainingNode()
         await node.stop(5.0)
         assert node.drain.begin("late").is_ok()
         await node.clock.advance(10.0)
--- a/tests/coordination/test_facts.py
+++ b/tests/coordination/test_facts.py
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize(
-    ("waited_s", "version", "origin", "taken"),
+    ("waited_s", "version", "origin", "is_accepted"),
     [
         (0.0, 5, "n", False),
         (0.0, 4, "n", False),
@@ -30,18 +30,20 @@
         (11.0 + facts.TOMBSTONE_S, 5, "n", True),
     ],
 )
-def test_which_fact_is_taken(
-    waited_s: float, version: int, origin: str, taken: bool
+def test_which_fact_is_accepted(
+    waited_s: float, version: int, origin: str, is_accepted: bool
 ) -> None:
     store = facts.FactStore()
     assert store.accept(fact(5), 100.0, sends=1)
     now = 100.0 + waited_s
     store.expire(now)
-    assert store.accept(fact(version, origin=origin), now, sends=1) is taken
+    assert (
+        store.accept(fact(version, origin=origin), now, sends=1) is is_accepted
+    )
 
 
 @pytest.mark.parametrize(
-    "unsound",
+    "invalid_fact",
     [
         fact(0),
         fact(facts.MAX_VERSION),
@@ -51,13 +53,13 @@
         fact(1, ttl_s=math.inf),
     ],
 )
-def test_unsound_numbers_are_not_taken(unsound: peers.Fact) -> None:
+def test_invalid_numbers_are_rejected(invalid_fact: peers.Fact) -> None:
     store = facts.FactStore()
-    assert not store.accept(unsound, 0.0, sends=1)
+    assert not store.accept(invalid_fact, 0.0, sends=1)
     assert not store.entries
 
 
-def test_a_fact_is_told_so_often_and_the_oldest_first() -> None:
+def test_fact_is_sent_a_limited_number_of_times_oldest_first() -> None:
     store = facts.FactStore()
     for key in ("a", "b"):
         item = peers.Fact(KIND, key, 1, "n", 10.0, b"1")
@@ -68,7 +70,7 @@
     assert list(store.pending_facts) == [(KIND, "b")]
 
 
-def test_rotation_names_every_live_fact_in_turn() -> None:
+def test_rotation_returns_every_live_fact_in_turn() -> None:
     store = facts.FactStore()
     for number in range(5):
         item = peers.Fact(KIND, str(number), 1, "n", 10.0 * number, b"1")
--- a/tests/coordination/test_grouped_writes.py
+++ b/tests/coordination/test_grouped_writes.py
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize(
-    ("keys", "taken", "failed", "most_writes"),
+    ("keys", "existing", "failed", "most_writes"),
     [
         ([f"{i}" for i in range(100)], [], 0, 3),
         ([f"{i}" for i in range(64)], ["5"], 1, 14),
@@ -26,13 +26,13 @@
     ],
 )
 def test_each_caller_gets_the_outcome_of_its_own_writes(
-    keys: list[str], taken: list[str], failed: int, most_writes: int
+    keys: list[str], existing: list[str], failed: int, most_writes: int
 ) -> None:
-    # Many callers insert at once, and some keys exist. Only those callers
-    # hear that the condition failed; all others' rows are written.
+    # Many callers insert at once, and some keys already exist. Only those
+    # callers get a failed condition; the rows of all others are written.
     async def case() -> None:
         store = fake_tables.FakeTableStore()
-        store.shared.transact([write(key) for key in taken])
+        store.shared.transact([write(key) for key in existing])
         grouped = grouped_writes.create_grouped_store(store)
         calls = [grouped.transact([write(key)]) for key in keys]
         results = await asyncio.gather(*calls)
@@ -71,7 +71,7 @@
     asyncio.run(case())
 
 
-def test_too_many_waiting_are_refused() -> None:
+def test_transactions_beyond_the_queue_limit_are_refused() -> None:
     async def case() -> None:
         store = fake_tables.FakeTableStore()
         settings = grouped_writes.GroupSettings(waiting=3)
@@ -85,12 +85,13 @@
 
 
 @pytest.mark.parametrize("in_flight", [1, 2])
-def test_write_that_comes_as_a_group_ends_is_not_left_waiting(
+def test_write_during_the_end_of_a_group_is_committed(
     in_flight: int,
 ) -> None:
-    # Callers write again in the very turn in which they get their answers.
-    # The committers have found nothing waiting but do not count as ended
-    # yet; without another write the new ones would wait forever.
+    # Callers write again in the same event loop iteration in which they get
+    # their answers. The commit tasks have found the queue empty but are not
+    # yet removed from the task set; if they counted as active, the new writes
+    # would wait forever unless another write followed.
     async def case() -> None:
         store = fake_tables.FakeTableStore()
         settings = grouped_writes.GroupSettings(in_flight=in_flight)
--- a/tests/coordination/test_lease.py
+++ b/tests/coordination/test_lease.py
@@ -19,7 +19,7 @@
 
 
 class SkewedClock(clock_ports.Clock):
-    """A clock with its own origin and rate, as each machine has."""
+    """A clock with its own origin and rate, as on a separate machine."""
 
     def __init__(
         self, true: clocks.VirtualClock, origin: float, rate: float
@@ -63,8 +63,8 @@
 
 
 def test_contender_waits_out_a_silent_holder() -> None:
-    # The holder stops renewing. Orders pause until a contender has seen the
-    # row unchanged for the whole duration; its fencing number is higher.
+    # The holder stops renewing. There is no holder until a contender has seen
+    # the row unchanged for the whole duration; its fencing token is higher.
     async def case() -> None:
         cluster = Cluster()
         first, second = cluster.leases
@@ -82,7 +82,7 @@
 
 
 def test_a_process_that_does_not_contend_checks_seldom_whether_it_may() -> None:
-    """Each of hundreds of nodes would list all others ten times a second."""
+    """Otherwise each of hundreds of nodes would list all others 10 times/s."""
 
     async def case() -> None:
         cluster = Cluster(rates=(1.0,))
@@ -113,10 +113,10 @@
 
 
 def test_a_holder_renews_by_one_call() -> None:
-    """A holder's reads would be half of what the lease costs the store.
+    """Reads by the holder would double the load of a lease on the store.
 
-    The holder renews on its own last revision; a renewal whose answer is
-    lost is read back, and the grant goes on with the same fencing number.
+    The holder renews on its own last revision. After a renewal whose answer is
+    lost it reads the row, and keeps its grant with the same fencing token.
     """
 
     async def case() -> None:
@@ -169,9 +169,9 @@
 def test_deadline_counts_from_before_the_renewal_was_sent(
     frozen_s: float,
 ) -> None:
-    # The renewal takes effect, but the holder is frozen before it sees the
-    # answer. When it thaws, it may act only for what is left of the
-    # duration since it asked: others counted from no later than that.
+    # The renewal takes effect, but the holder is frozen before it gets the
+    # answer. When it thaws, it may act only for the rest of the duration since
+    # it sent the request, since contenders may count their wait from then on.
     async def case() -> None:
         cluster = Cluster()
         first = cluster.leases[0]
@@ -191,8 +191,8 @@
 
 
 def test_frozen_holder_has_no_grant_once_thawed() -> None:
-    # The holder freezes past its lease and another takes over. Thawed, it
-    # has no grant at once, before it reads or writes anything.
+    # The holder is frozen past its deadline and another process takes over.
+    # After the thaw it has no grant, even before it reads or writes anything.
     async def case() -> None:
         cluster = Cluster()
         first, second = cluster.leases
@@ -210,7 +210,7 @@
 @pytest.mark.parametrize("lost", [Outcome.LOST, Outcome.LATE])
 def test_lost_answer_is_read_back_by_own_token(lost: Outcome) -> None:
     # The answer to the acquisition is lost after it took effect. The holder
-    # finds its own token and goes on, with the deadline of the first request.
+    # finds its own token and has a grant with the first request's deadline.
     async def case() -> None:
         cluster = Cluster()
         first = cluster.leases[0]
@@ -251,7 +251,7 @@
 
 
 class LeaseMachine(machines.LoopMachine):
-    """Three contenders with clocks of other rates, frozen and thawed."""
+    """Three contenders with different clock rates, frozen and thawed."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/coordination/test_leaving.py
+++ b/tests/coordination/test_leaving.py
@@ -28,7 +28,7 @@
     return lambda known: known.vms_listed([vm(state)])
 
 
-def said(instance: str) -> Callable[..., None]:
+def reported(instance: str) -> Callable[..., None]:
     return lambda known: known.endpoint_said("e", instance)
 
 
@@ -36,7 +36,7 @@
     return lambda known: known.instance_seen("e", instance)
 
 
-def peer_said(instance: str) -> Callable[..., None]:
+def peer_reported(instance: str) -> Callable[..., None]:
     value = leaving.LeavingValue(instance=instance).model_dump_json().encode()
     fact = peers.Fact(peers.FactKind.LEAVING, "e", 1, "n", 60.0, value)
     return lambda known: known.fact_changed("e", fact)
@@ -60,26 +60,26 @@
     [
         ([], False),
         ([LISTED_LEAVING], True),
-        ([said("i1")], True),
-        ([said("")], True),
-        ([peer_said("i1")], True),
-        ([said("i1"), LIVE], True),
-        ([peer_said("i1"), LIVE], True),
+        ([reported("i1")], True),
+        ([reported("")], True),
+        ([peer_reported("i1")], True),
+        ([reported("i1"), LIVE], True),
+        ([peer_reported("i1"), LIVE], True),
         ([LISTED_LEAVING, LIVE], False),
         ([LISTED_LEAVING, GONE], False),
-        ([said("i1"), seen("i2")], False),
-        ([said("i1"), seen("i2"), peer_said("i1")], False),
-        ([seen("i1"), peer_said("i2")], True),
-        ([seen("i1"), peer_said("i0"), seen("i1")], False),
-        ([peer_said(""), seen("i1")], True),
-        ([peer_said(""), seen("i1"), seen("i2")], False),
+        ([reported("i1"), seen("i2")], False),
+        ([reported("i1"), seen("i2"), peer_reported("i1")], False),
+        ([seen("i1"), peer_reported("i2")], True),
+        ([seen("i1"), peer_reported("i0"), seen("i1")], False),
+        ([peer_reported(""), seen("i1")], True),
+        ([peer_reported(""), seen("i1"), seen("i2")], False),
         ([seen("i1"), LISTED_LEAVING, seen("i2"), LISTED_LEAVING], False),
         ([LISTED_LEAVING, seen("i1"), LISTED_LEAVING], True),
-        ([peer_said("i1"), waited(61.0)], False),
-        ([said("i1"), waited(leaving.LEAVING_TTL_S + 1)], False),
+        ([peer_reported("i1"), waited(61.0)], False),
+        ([reported("i1"), waited(leaving.LEAVING_TTL_S + 1)], False),
     ],
 )
-def test_word_about_an_endpoint(
+def test_is_leaving_after_events(
     events: list[Callable[..., None]], expected: bool
 ) -> None:
     known = leaving.create_leaving_endpoints(
@@ -91,7 +91,7 @@
 
 
 @pytest.mark.parametrize("value", [b"{}", b"\xff", b"[]", b'{"instance": 3}'])
-def test_unreadable_words_are_passed_over(value: bytes) -> None:
+def test_invalid_facts_are_ignored(value: bytes) -> None:
     known = leaving.create_leaving_endpoints(
         network.ManualClock(), lambda *_: None
     )
@@ -100,12 +100,12 @@
     assert not known.is_leaving("e")
 
 
-def test_all_nodes_stop_dispatching_long_before_the_list_says_so() -> None:
-    """An endpoint is leaving; one node hears it from the endpoint itself.
+def test_all_nodes_stop_dispatching_before_the_list_is_updated() -> None:
+    """An endpoint is leaving; only one node learns it from the endpoint.
 
-    The platform's list says so 10 s later. Requests that other nodes send
-    in between would be refused or lost, and callers would wait for another
-    try; so every node must know within 3 s.
+    The platform's list shows it 10 s later. Requests that other nodes send
+    in between would be refused or lost, and callers would wait for a retry;
+    so every node must know within 3 s.
     """
 
     async def scenario() -> None:
@@ -130,45 +130,47 @@
     asyncio.run(scenario())
 
 
-def test_peers_are_told_once_in_a_while() -> None:
+def test_peers_are_notified_at_intervals() -> None:
     clock = network.ManualClock()
-    told: list[str] = []
+    published: list[str] = []
     known = leaving.create_leaving_endpoints(
-        clock, lambda kind, key, value, ttl_s: told.append(key)
+        clock, lambda kind, key, value, ttl_s: published.append(key)
     )
     for _ in range(10):
         known.endpoint_said("e", "i1")
-    assert told == ["e"]
+    assert published == ["e"]
     clock.now += leaving.REPUBLISH_AFTER_S
     known.endpoint_said("e", "i1")
-    assert told == ["e", "e"]
+    assert published == ["e", "e"]
 
 
 class LeavingMachine(stateful.RuleBasedStateMachine):
-    """One endpoint is replaced over and over; two nodes hear of it.
+    """One endpoint is replaced repeatedly; two nodes get reports about it.
 
-    The list shows the state of a random earlier time; peers' words arrive
-    late and in any order.
+    The list shows the state of a random earlier time; facts from the peer
+    arrive late and in any order.
     """
 
     def __init__(self) -> None:
         super().__init__()
         self.clock = network.ManualClock()
-        self.words: list[peers.Fact] = []
+        self.reports: list[peers.Fact] = []
         self.known = leaving.create_leaving_endpoints(
             self.clock, lambda *_: None
         )
-        self.teller = leaving.create_leaving_endpoints(self.clock, self.publish)
+        self.peer_node = leaving.create_leaving_endpoints(
+            self.clock, self.publish
+        )
         self.instance = 1
         self.is_leaving = False
-        self.heard = False
+        self.was_reported = False
         self.history = [endpoints.VmState.LIVE]
 
     def publish(
         self, kind: peers.FactKind, key: str, value: bytes, ttl_s: float
     ) -> None:
-        version = len(self.words) + 1
-        self.words.append(peers.Fact(kind, key, version, "n", ttl_s, value))
+        version = len(self.reports) + 1
+        self.reports.append(peers.Fact(kind, key, version, "n", ttl_s, value))
 
     @stateful.precondition(lambda self: not self.is_leaving)
     @stateful.rule()
@@ -181,7 +183,7 @@
     def replace(self) -> None:
         self.instance += 1
         self.is_leaving = False
-        self.heard = False
+        self.was_reported = False
         self.history.append(endpoints.VmState.LIVE)
 
     @stateful.rule(lag=st.integers(0, 3))
@@ -196,31 +198,31 @@
         self.known.instance_seen("e", name)
         if self.is_leaving:
             self.known.endpoint_said("e", name)
-            self.heard = True
+            self.was_reported = True
 
     @stateful.precondition(lambda self: self.is_leaving)
     @stateful.rule()
     def refuse_to_peer(self) -> None:
-        self.teller.endpoint_said("e", f"i{self.instance}")
+        self.peer_node.endpoint_said("e", f"i{self.instance}")
 
-    @stateful.precondition(lambda self: self.words)
+    @stateful.precondition(lambda self: self.reports)
     @stateful.rule(data=st.data())
-    def word_arrives(self, data: st.DataObject) -> None:
-        word = data.draw(st.sampled_from(self.words))
-        self.known.fact_changed("e", word)
+    def report_arrives(self, data: st.DataObject) -> None:
+        report_fact = data.draw(st.sampled_from(self.reports))
+        self.known.fact_changed("e", report_fact)
         current = f'"i{self.instance}"'.encode()
-        if self.is_leaving and current in word.value:
-            self.heard = True
+        if self.is_leaving and current in report_fact.value:
+            self.was_reported = True
 
     @stateful.invariant()
-    def what_was_heard_is_never_unlearnt(self) -> None:
-        """No dispatch goes to an instance known to be leaving."""
-        if self.is_leaving and self.heard:
+    def known_leaving_instance_stays_leaving(self) -> None:
+        """Nothing is dispatched to an instance known to be leaving."""
+        if self.is_leaving and self.was_reported:
             assert self.known.is_leaving("e")
 
     @stateful.rule()
     def settle(self) -> None:
-        """With the list caught up and a fresh report, the truth holds."""
+        """With an up-to-date list and a fresh report, the state is right."""
         self.known.vms_listed([vm(self.history[-1])])
         self.report()
         assert self.known.is_leaving("e") is self.is_leaving
--- a/tests/coordination/test_membership.py
+++ b/tests/coordination/test_membership.py
@@ -32,15 +32,15 @@
 
 
 @pytest.mark.parametrize(
-    ("size", "drop_share", "most_rounds"),
+    ("size", "drop_rate", "most_rounds"),
     [(3, 0.0, 2), (9, 0.0, 3), (9, 0.2, 6), (27, 0.0, 5), (27, 0.2, 8)],
 )
 def test_config_reaches_all_nodes_within_rounds(
-    size: int, drop_share: float, most_rounds: int
+    size: int, drop_rate: float, most_rounds: int
 ) -> None:
     async def scenario() -> None:
         cluster = await network.create_cluster(size)
-        cluster.switchboard.drop_share = drop_share
+        cluster.simulated_network.drop_rate = drop_rate
         cluster.nodes["node-0"].publish(CONFIG, "version", b"7", 600.0)
         await cluster.run_until(knows(cluster, CONFIG, b"7"), most_rounds)
 
@@ -51,8 +51,8 @@
 def test_extra_rounds_alone_reach_all_nodes(seed: int) -> None:
     """An urgent fact must not wait for the next regular round.
 
-    Only nodes that were woken exchange. If each did so once, those that
-    nobody chose by chance would go on dispatching to a leaving endpoint.
+    Only nodes that were woken exchange. If each did so only once, nodes that
+    by chance none of them chose would keep dispatching to a leaving endpoint.
     """
 
     async def scenario() -> None:
@@ -92,12 +92,13 @@
     asyncio.run(scenario())
 
 
-def test_node_that_starts_later_does_not_take_a_silent_peer_for_live() -> None:
-    """Callers would be sent to a VM that is gone, by the newest nodes.
+def test_node_that_starts_later_does_not_list_a_silent_peer_as_alive() -> None:
+    """Otherwise new nodes would send callers to a VM that is gone.
 
-    A node stops; some seconds later another starts and learns of both the
-    live ones and the stopped one, whose fact still holds. Its silence counts
-    from its last heartbeat for all, so the new node agrees with the others.
+    A node stops; some seconds later another starts and learns of the live
+    nodes and of the stopped one, whose fact is still valid. On every node its
+    silence counts from its last heartbeat, so the new node agrees with the
+    others.
     """
 
     async def scenario() -> None:
@@ -126,7 +127,7 @@
     asyncio.run(scenario())
 
 
-def test_leaving_node_is_seen_as_leaving_in_an_extra_round() -> None:
+def test_leaving_node_is_announced_in_an_extra_round() -> None:
     async def scenario() -> None:
         cluster = await network.create_cluster(3)
         leaver = cluster.nodes["node-2"]
@@ -138,7 +139,7 @@
     asyncio.run(scenario())
 
 
-def test_closed_node_is_dropped_at_once_and_may_come_back() -> None:
+def test_closed_node_is_dropped_at_once_and_may_rejoin() -> None:
     async def scenario() -> None:
         cluster = await network.create_cluster(3)
         await cluster.nodes["node-2"].close()
@@ -151,12 +152,12 @@
 
 
 @pytest.mark.parametrize("wall_step_s", [0.0, -3_600.0])
-def test_facts_of_a_restarted_node_stand(wall_step_s: float) -> None:
-    """A node killed and restarted states its fact; peers hold the old one.
+def test_facts_of_a_restarted_node_replace_old_ones(wall_step_s: float) -> None:
+    """A killed and restarted node publishes a fact that peers already hold.
 
-    If its versions began from nothing, peers would keep the old value and
-    callers would be sent to the address of its former life. The clock that
-    went back shows that the wall clock alone is not relied on.
+    If its versions started from zero, peers would keep the old value and send
+    callers to its address from before the restart. The case with a clock that
+    went back shows that versions don't depend on the wall clock alone.
     """
 
     async def scenario() -> None:
@@ -180,12 +181,13 @@
     asyncio.run(scenario())
 
 
-def test_dropped_node_is_taken_back_though_its_clock_went_back() -> None:
-    """A restarted node would stay unseen for as long as it is remembered.
+def test_dropped_node_rejoins_although_its_clock_went_back() -> None:
+    """A restarted node must not be ignored until its tombstone is purged.
 
     It is killed and dropped; its wall clock goes back by 15 minutes, and it
-    restarts with versions below those that peers remember. Nobody tells it
-    a fact that has ended, so the digest has to. Found by the machine.
+    restarts with versions below those in its peers' tombstones. Expired facts
+    are not sent, so the node has to learn the version from a reply to its
+    digest. Found by the state machine test.
     """
 
     async def scenario() -> None:
@@ -199,12 +201,12 @@
     asyncio.run(scenario())
 
 
-def test_thawed_node_does_not_bring_back_what_ended() -> None:
-    """An endpoint would count as leaving again long after its replacement.
+def test_thawed_node_does_not_bring_back_expired_facts() -> None:
+    """An endpoint must not count as leaving again after its replacement.
 
     node-2 holds the fact, and gets messages with it while frozen. The fact
-    ends everywhere. Thawed, it reads the waiting messages first, then runs
-    its rounds; nobody may hold the fact again.
+    expires on the other nodes. When node-2 thaws, it reads the waiting
+    messages first and then runs its rounds; no node may hold the fact again.
     """
 
     async def scenario() -> None:
@@ -212,7 +214,7 @@
         cluster.nodes["node-0"].publish(LEAVING, "e", b"1", 30.0)
         cluster.freeze("node-2")
         await cluster.run(20)
-        assert cluster.switchboard.waiting
+        assert cluster.simulated_network.waiting
         await cluster.run(30)
         await cluster.thaw("node-2")
         assert not cluster.nodes["node-2"].facts(LEAVING)
@@ -222,12 +224,12 @@
     asyncio.run(scenario())
 
 
-def test_node_on_a_suspended_host_does_not_bring_back_what_ended() -> None:
-    """A suspended VM's monotonic clock stands still, so its facts hold on.
+def test_node_on_a_suspended_host_does_not_bring_back_expired_facts() -> None:
+    """The monotonic clock of a suspended VM stops, so its facts stay valid.
 
-    node-2 is suspended for 100 s while the fact ends elsewhere. Resumed, it
-    counts the fact as live and tells it. The others remember the version:
-    they refuse it, and node-2 learns that it has ended.
+    node-2 is suspended for 100 s while the fact expires on the other nodes.
+    Once resumed, it considers the fact valid and sends it. The others have a
+    tombstone: they reject it, and node-2 learns that it has expired.
     """
 
     async def scenario() -> None:
@@ -242,7 +244,7 @@
             part.clock = own_clock
         cluster.freeze("node-2")
         await cluster.run(100)
-        cluster.switchboard.waiting.clear()
+        cluster.simulated_network.waiting.clear()
         await cluster.thaw("node-2")
         assert suspended.facts(LEAVING)
         for _ in range(10):
@@ -273,8 +275,8 @@
 def test_facts_outlive_the_replacement_of_every_node() -> None:
     """All VMs are replaced one by one while the platform is down.
 
-    Each new node has one address, of a peer that is itself replaced later.
-    The configuration must still be known when no first node is left.
+    Each new node has one seed address, of a peer that is itself replaced
+    later. The configuration must still be known when no original node is left.
     """
 
     async def scenario() -> None:
@@ -296,11 +298,11 @@
     asyncio.run(scenario())
 
 
-def test_halves_that_dropped_each_other_meet_again() -> None:
-    """Two regions lose each other for an hour with the platform away.
+def test_partitioned_halves_rejoin() -> None:
+    """Two regions are partitioned for an hour while the platform is down.
 
-    Each drops the other's nodes within seconds. When the link is back
-    nobody gives them addresses; the remembered ones have to do.
+    Each drops the other's nodes within seconds. When the link is back, there
+    are no seeds; the addresses of dropped nodes have to suffice.
     """
 
     async def scenario() -> None:
@@ -310,35 +312,35 @@
             node.seed_addresses = []
         for number in range(4):
             address = network.address_of(f"node-{number}")
-            cluster.switchboard.groups[address] = 1
+            cluster.simulated_network.groups[address] = 1
         await cluster.run(60)
         assert all(len(seen) == 3 for seen in cluster.views().values())
         cluster.clock.now += 3_540.0
         await cluster.run(3)
         cluster.nodes["node-0"].publish(CONFIG, "version", b"8", 600.0)
-        cluster.switchboard.groups.clear()
+        cluster.simulated_network.groups.clear()
         await cluster.run_until(cluster.is_joined, 30)
         await cluster.run_until(knows(cluster, CONFIG, b"8"), 10)
 
     asyncio.run(scenario())
 
 
-def test_subscribers_hear_changes_and_ends_but_no_heartbeats() -> None:
+def test_subscribers_are_notified_of_changes_but_not_heartbeats() -> None:
     async def scenario() -> None:
         cluster = await network.create_cluster(3)
-        heard: list[tuple[str, bytes | None]] = []
+        changes: list[tuple[str, bytes | None]] = []
         for kind in (NODE, CONFIG):
             cluster.nodes["node-0"].subscribe(
                 kind,
-                lambda key, fact: heard.append(
+                lambda key, fact: changes.append(
                     (key, fact.value if fact else None)
                 ),
             )
         await cluster.run(5)
-        assert heard == []
+        assert changes == []
         cluster.nodes["node-1"].publish(CONFIG, "v", b"1", 5.0)
         await cluster.run(8)
-        assert heard == [("v", b"1"), ("v", None)]
+        assert changes == [("v", b"1"), ("v", None)]
 
     asyncio.run(scenario())
 
@@ -377,7 +379,7 @@
 
 
 @pytest.mark.parametrize("value", [b"", b"x" * 2_000])
-def test_values_that_cannot_be_exchanged_are_refused(value: bytes) -> None:
+def test_values_of_invalid_size_are_rejected(value: bytes) -> None:
     async def scenario() -> None:
         cluster = network.Cluster(1)
         node = await cluster.add("node-0")
@@ -388,11 +390,11 @@
 
 
 def test_flood_of_facts_keeps_within_the_byte_budget() -> None:
-    """Many endpoints' loads at once must not crowd out a config change.
+    """Many load facts at once must not delay a configuration change.
 
-    One node states 400 load facts and then a configuration. Every node
-    must know the configuration within rounds, though the loads take longer.
-    No node may send more than its rate and one burst, in real bytes.
+    One node publishes 400 load facts and then a configuration. Every node
+    must know the configuration within a few rounds, although the loads take
+    longer. No node may send more than its rate and one burst, in real bytes.
     """
 
     async def scenario() -> None:
@@ -404,7 +406,7 @@
                 peers.FactKind.ENGINE_LOAD, f"engine-{number}", load, 60.0
             )
         node.publish(CONFIG, "version", b"9", 600.0)
-        cluster.switchboard.sent_bytes = {}
+        cluster.simulated_network.sent_bytes = {}
         await cluster.run_until(knows(cluster, CONFIG, b"9"), 4)
         loads = [
             len(other.facts(peers.FactKind.ENGINE_LOAD))
@@ -419,17 +421,17 @@
             60,
         )
         rate = node.settings.bytes_per_s
-        sent = cluster.switchboard.sent_bytes
+        sent = cluster.simulated_network.sent_bytes
         assert max(sent.values()) < rate * (rounds + 6)
 
     asyncio.run(scenario())
 
 
 def test_many_urgent_rounds_stay_within_the_rate() -> None:
-    """A burst of urgent facts asks for round after round within a second.
+    """A burst of urgent facts causes many extra rounds within a second.
 
-    Each would carry a whole message of loads besides. Past the burst the
-    token bucket leaves them only their heads.
+    Each could also carry a full message of loads. Once the burst of the token
+    bucket is used up, only their overhead is sent.
     """
 
     async def scenario() -> None:
@@ -440,11 +442,13 @@
             node.publish(
                 peers.FactKind.ENGINE_LOAD, f"engine-{number}", load, 60.0
             )
-        cluster.switchboard.sent_bytes = {}
+        cluster.simulated_network.sent_bytes = {}
         for _ in range(50):
             await node.run_round(urgent=True)
-        sent = cluster.switchboard.sent_bytes[network.address_of("node-0")]
-        heads = 3 * 50 * drafts.MESSAGE_OVERHEAD_BYTES
-        assert sent < node.messages.budget.burst + heads
+        sent = cluster.simulated_network.sent_bytes[
+            network.address_of("node-0")
+        ]
+        overhead = 3 * 50 * drafts.MESSAGE_OVERHEAD_BYTES
+        assert sent < node.messages.budget.burst + overhead
 
     asyncio.run(scenario())
--- a/tests/coordination/test_membership_machine.py
+++ b/tests/coordination/test_membership_machine.py
@@ -1,4 +1,4 @@
-"""Membership under drops, partitions, frozen, killed and restarted nodes."""
+"""Membership with message loss, partitions and node failures."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 SETTLE_ROUNDS = 45
 
 WAITED_S = peer_types.MembershipSettings().paused_s + 1.0
-"""Time that a message may wait for a frozen node and still be taken."""
+"""Time that a message may wait for a frozen node and still be accepted."""
 
 names = st.sampled_from(NAMES)
 keys = st.sampled_from(["a", "b"])
@@ -32,7 +32,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Statement:
-    """What the model knows of a value that a node stated."""
+    """The model's record of a value that a node published."""
 
     kind: peers.FactKind
     key: str
@@ -41,7 +41,7 @@
 
 
 class MembershipMachine(stateful.RuleBasedStateMachine):
-    """Facts end in time everywhere, and nodes agree once faults end."""
+    """Facts expire in time on all nodes, and nodes agree once faults end."""
 
     @stateful.initialize(seed=st.integers(0, 1_000))
     def begin(self, seed: int) -> None:
@@ -89,17 +89,17 @@
 
     @stateful.rule(seconds=st.sampled_from([3.0, 20.0, 700.0]))
     def pass_time(self, seconds: float) -> None:
-        """All processes stand still, as on a suspended host."""
+        """Advances the clock without rounds, as on a suspended host."""
         self.cluster.clock.now += seconds
 
     @stateful.rule(share=st.sampled_from([0.0, 0.3, 1.0]))
     def drop(self, share: float) -> None:
-        self.cluster.switchboard.drop_share = share
+        self.cluster.simulated_network.drop_rate = share
 
     @stateful.rule(group=st.sets(names))
     def partition(self, group: set[str]) -> None:
         groups = {network.address_of(name): 1 for name in group}
-        self.cluster.switchboard.groups = groups
+        self.cluster.simulated_network.groups = groups
 
     @stateful.rule(name=names)
     def freeze(self, name: str) -> None:
@@ -142,10 +142,10 @@
 
     @stateful.rule()
     def settle(self) -> None:
-        """Without faults, all running nodes agree within some rounds."""
-        switchboard = self.cluster.switchboard
-        switchboard.drop_share = 0.0
-        switchboard.groups = {}
+        """Without faults, all running nodes agree within ``SETTLE_ROUNDS``."""
+        simulated_network = self.cluster.simulated_network
+        simulated_network.drop_rate = 0.0
+        simulated_network.groups = {}
         for name in list(self.cluster.nodes):
             self.do(self.cluster.thaw(name))
         self.do(self.cluster.run(SETTLE_ROUNDS))
--- a/tests/coordination/test_membership_tcp.py
+++ b/tests/coordination/test_membership_tcp.py
@@ -101,11 +101,11 @@
 
 
 def test_node_behind_a_silent_link_is_suspect_until_it_heals() -> None:
-    """A node's link swallows what is sent to it; others must not trust it.
+    """A node whose incoming link drops all data must become suspect.
 
-    It is reached through a proxy that goes silent. Its own calls still go
-    out, so it is heard from; but calls to it fail, and a caller sent there
-    would wait in vain. Healed, it is trusted again.
+    It is reached through a proxy that stops forwarding. Its own calls still
+    succeed, so its heartbeats arrive; but calls to it fail, and callers sent
+    there would wait in vain. Once the link works, the node is alive again.
     """
 
     async def scenario() -> None:
--- a/tests/coordination/test_over_platform.py
+++ b/tests/coordination/test_over_platform.py
@@ -30,7 +30,7 @@
 
 
 class Stores:
-    """Stores of one node over the stand-in."""
+    """Stores of one node on the platform stand-in."""
 
     def __init__(self, address: str) -> None:
         self.table = platform_store.create_table_store(address, TIMEOUT_S)
@@ -82,9 +82,9 @@
 def test_requests_run_once_though_answers_are_lost(
     switch: faults.Switch,
 ) -> None:
-    # Ten requests come through two nodes at once while the platform loses
+    # Ten requests are sent through two nodes at once while the platform loses
     # answers after writes took effect. Each key is dispatched at most once,
-    # and whoever is told "finished" gets the result of that run.
+    # and whoever gets "finished" gets the result of that run.
     async def case(platform: server.PlatformServer, stores: Stores) -> None:
         platform.state.faults.set(switch)
         nodes = [create_claims(stores, node) for node in ("n1", "n2")]
@@ -137,7 +137,7 @@
 
 def test_lost_apply_is_in_force_everywhere() -> None:
     # The answer to an apply is lost after the write took effect. The
-    # operator hears that it was accepted, and another node has it soon.
+    # operator gets the accepted version, and another node applies it soon.
     async def case(platform: server.PlatformServer, stores: Stores) -> None:
         first, second = create_config(stores), create_config(stores)
         await second.start()
@@ -152,8 +152,8 @@
 
 
 def test_lease_lapses_while_the_platform_hangs() -> None:
-    # The platform hangs: the holder has no grant once its duration is over,
-    # and takes the lease again with a higher number when it is back.
+    # The platform hangs: the holder has no grant once the duration is over,
+    # and acquires the lease again with a higher fencing token afterwards.
     async def case(platform: server.PlatformServer, stores: Stores) -> None:
         short = lease.LeaseSettings(
             duration_s=0.4, renew_s=0.1, watch_s=0.1, max_clock_drift=0.05
--- a/tests/coordination/test_quarantine.py
+++ b/tests/coordination/test_quarantine.py
@@ -29,14 +29,14 @@
 
 @pytest.mark.parametrize("seed", range(8))
 @pytest.mark.parametrize("resend_s", [0.1, 0.7, 2.0, 6.0])
-def test_resent_poison_takes_two_endpoints_at_most(
+def test_resent_poison_crashes_two_endpoints_at_most(
     seed: int, resend_s: float
 ) -> None:
-    """One request crashes what runs it; its caller tries each node in turn.
+    """A request crashes its endpoints, and its caller tries each node in turn.
 
-    n0 sees the first crash; the caller gives up on it and sends through
-    n1, then n2, before and after these have heard. Others' requests run
-    beside it. Two endpoints are lost at most, the request is refused in
+    n0 sees the first crash; the caller gives up on it and retries through n1,
+    then n2, before and after these learn of the crash. Other requests run
+    concurrently. At most two endpoints are lost, the request is refused in
     the end, and all other callers get their answers.
     """
 
@@ -52,7 +52,7 @@
             system.spawn(system.request(node, POISON))
             await system.clock.advance(3.0)
         await system.clock.advance(300.0)
-        assert 1 <= len(system.lost_to_poison) <= 2
+        assert 1 <= len(system.endpoints_lost_to_poison) <= 2
         assert system.outcomes.pop(POISON) == "convicted"
         assert set(system.outcomes.values()) == {"answered"}
         assert not any(
@@ -65,11 +65,11 @@
     asyncio.run(scenario())
 
 
-def test_suspect_waits_for_a_copy_under_way_elsewhere() -> None:
-    """The request takes 10 s to crash an endpoint; its caller waits 9 s.
+def test_suspect_waits_for_a_copy_running_on_a_peer() -> None:
+    """The request takes 10 s to crash an endpoint; its caller retries at 9 s.
 
-    n1 runs the second copy when n0 sees the first crash. n0 may not try it
-    alone meanwhile: the copy will crash the second endpoint.
+    n1 is running the second copy when n0 sees the first crash. n0 may not run
+    a trial in the meantime: the copy will crash the second endpoint.
     """
 
     async def scenario() -> None:
@@ -79,7 +79,7 @@
         await system.clock.advance(9.0)
         system.spawn(system.request("n1", POISON))
         await system.clock.advance(100.0)
-        assert len(system.lost_to_poison) == 2
+        assert len(system.endpoints_lost_to_poison) == 2
         assert system.outcomes[POISON] == "convicted"
         await system.close()
 
@@ -87,11 +87,11 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_dead_zone_convicts_nobody(seed: int) -> None:
-    """A zone dies while requests run there, then a second one.
+def test_zone_failure_convicts_no_request(seed: int) -> None:
+    """A zone fails while requests run there, then a second one.
 
     The same requests may be in flight in both. All are answered in the
-    zone that is left, and none is held back as a suspect for long.
+    remaining zone, and none is delayed as a suspect for long.
     """
 
     async def scenario() -> None:
@@ -112,16 +112,16 @@
     asyncio.run(scenario())
 
 
-def test_suspect_is_refused_while_the_platform_is_away() -> None:
+def test_suspect_is_refused_while_the_platform_is_down() -> None:
     async def scenario() -> None:
         system = crashing.CrashingSystem(1)
         system.table.is_down = True
         system.spawn(system.request("n0", POISON))
         await system.clock.advance(60.0)
-        assert len(system.lost_to_poison) == 1
+        assert len(system.endpoints_lost_to_poison) == 1
         system.table.is_down = False
         await system.clock.advance(60.0)
-        assert len(system.lost_to_poison) == 2
+        assert len(system.endpoints_lost_to_poison) == 2
         assert system.outcomes[POISON] == "convicted"
         await system.close()
 
@@ -129,11 +129,11 @@
 
 
 class Harness:
-    """One node's quarantine, and what it told."""
+    """One node's quarantine and the facts that it published."""
 
     def __init__(self) -> None:
         self.clock = network.ManualClock()
-        self.told: dict[str, bytes] = {}
+        self.published: dict[str, bytes] = {}
         self.state = quarantine.create_quarantine(
             self.clock, "n0", self.publish, self.withdraw
         )
@@ -143,11 +143,11 @@
     ) -> None:
         assert kind is peers.FactKind.QUARANTINE
         assert ttl_s > 0
-        self.told[key] = value
+        self.published[key] = value
 
     def withdraw(self, kind: peers.FactKind, key: str) -> None:
         assert kind is peers.FactKind.QUARANTINE
-        self.told.pop(key, None)
+        self.published.pop(key, None)
         self.state.merge(key, None)
 
     def crash(self, endpoint: str, *names: str, zone: str = "a") -> None:
@@ -159,23 +159,23 @@
         return self.state.may_run(name).kind
 
 
-def once(harness: Harness) -> None:
+def one_crash(harness: Harness) -> None:
     harness.crash("e1", "f", "g")
 
 
-def once_and_waited(harness: Harness) -> None:
-    once(harness)
+def one_crash_and_wait(harness: Harness) -> None:
+    one_crash(harness)
     harness.clock.now += 3.1
 
 
-def twice(harness: Harness) -> None:
-    once_and_waited(harness)
+def two_crashes(harness: Harness) -> None:
+    one_crash_and_wait(harness)
     harness.crash("e2", "f")
     harness.clock.now += 3.1
 
 
-def alone(harness: Harness) -> None:
-    once_and_waited(harness)
+def crash_in_trial(harness: Harness) -> None:
+    one_crash_and_wait(harness)
     assert harness.state.begin_trial("f", ["e1"])
     harness.crash("e1", "f")
     harness.state.end_trial("f", completed=False)
@@ -183,55 +183,55 @@
 
 
 def cleared(harness: Harness) -> None:
-    once_and_waited(harness)
+    one_crash_and_wait(harness)
     assert harness.state.begin_trial("f", ["e2"])
     harness.state.end_trial("f", completed=True)
 
 
 def conviction_expired(harness: Harness) -> None:
-    twice(harness)
+    two_crashes(harness)
     assert harness.verdict("f") is quarantine_verdicts.VerdictKind.REFUSED
     harness.clock.now += 1_801.0
 
 
-def mass(harness: Harness) -> None:
+def zone_failure(harness: Harness) -> None:
     for endpoint in ("e1", "e2", "e3"):
         harness.crash(endpoint, "f")
 
 
-def mass_and_one_more(harness: Harness) -> None:
-    mass(harness)
+def zone_failure_and_one_more(harness: Harness) -> None:
+    zone_failure(harness)
     harness.crash("e4", "g")
 
 
-def mass_without_work(harness: Harness) -> None:
-    once(harness)
+def zone_failure_without_work(harness: Harness) -> None:
+    one_crash(harness)
     harness.crash("e2")
     harness.crash("e3")
 
 
-def spread_over_zones(harness: Harness) -> None:
-    once(harness)
+def crashes_in_different_zones(harness: Harness) -> None:
+    one_crash(harness)
     harness.crash("e2", zone="b")
     harness.crash("e3", zone="c")
     harness.clock.now += 3.1
 
 
-def again_in_a_mass(harness: Harness) -> None:
-    mass(harness)
+def second_crash_in_zone_failure(harness: Harness) -> None:
+    zone_failure(harness)
     harness.clock.now += 0.1
     harness.crash("e4", "f", "g")
     harness.clock.now += 3.1
 
 
-def everywhere(harness: Harness) -> None:
+def crash_in_every_zone(harness: Harness) -> None:
     for number, zone in enumerate(("a", "b", "c")):
         harness.crash(f"e{number}", "f", zone=zone)
     harness.clock.now += 3.1
 
 
-def running_elsewhere(harness: Harness) -> None:
-    once_and_waited(harness)
+def running_on_peer(harness: Harness) -> None:
+    one_crash_and_wait(harness)
     fact = peers.Fact(
         peers.FactKind.QUARANTINE, "running/f/n1", 1, "n1", 60.0, b"{}"
     )
@@ -241,19 +241,19 @@
 @pytest.mark.parametrize(
     ("events", "f", "g"),
     [
-        (once, "refused", "refused"),
-        (once_and_waited, "alone", "alone"),
-        (twice, "refused", "alone"),
-        (alone, "refused", "alone"),
+        (one_crash, "refused", "refused"),
+        (one_crash_and_wait, "alone", "alone"),
+        (two_crashes, "refused", "alone"),
+        (crash_in_trial, "refused", "alone"),
         (cleared, "free", "alone"),
         (conviction_expired, "free", "free"),
-        (mass, "free", "free"),
-        (mass_and_one_more, "free", "free"),
-        (mass_without_work, "free", "free"),
-        (spread_over_zones, "alone", "alone"),
-        (again_in_a_mass, "alone", "free"),
-        (everywhere, "refused", "free"),
-        (running_elsewhere, "refused", "alone"),
+        (zone_failure, "free", "free"),
+        (zone_failure_and_one_more, "free", "free"),
+        (zone_failure_without_work, "free", "free"),
+        (crashes_in_different_zones, "alone", "alone"),
+        (second_crash_in_zone_failure, "alone", "free"),
+        (crash_in_every_zone, "refused", "free"),
+        (running_on_peer, "refused", "alone"),
     ],
 )
 def test_verdict(events: Callable[[Harness], None], f: str, g: str) -> None:
@@ -262,9 +262,9 @@
     assert (harness.verdict("f"), harness.verdict("g")) == (f, g)
 
 
-def test_nothing_runs_beside_a_suspect() -> None:
+def test_nothing_runs_concurrently_with_a_suspect() -> None:
     harness = Harness()
-    once_and_waited(harness)
+    one_crash_and_wait(harness)
     state = harness.state
     assert state.begin_trial("f", ["e1", "e2"])
     assert not state.begin_trial("g", ["e2", "e3"])
@@ -279,14 +279,14 @@
     harness = Harness()
     names = [f"{number:016x}" for number in range(1_000)]
     harness.crash("endpoint-with-a-long-name", *names)
-    sizes = [len(value) for value in harness.told.values()]
+    sizes = [len(value) for value in harness.published.values()]
     assert len(sizes) == quarantine.MAX_FACTS_PER_CRASH
     assert max(sizes) <= 1_500
 
 
 @pytest.mark.parametrize("value", [b"", b"{}", b"[1]", b"\xff"])
 @pytest.mark.parametrize("subject", ["crash", "trial", "running", "what"])
-def test_unreadable_facts_are_passed_over(subject: str, value: bytes) -> None:
+def test_invalid_facts_are_ignored(subject: str, value: bytes) -> None:
     harness = Harness()
     key = f"{subject}/f/n1"
     fact = peers.Fact(peers.FactKind.QUARANTINE, key, 1, "n1", 60.0, value)
@@ -303,11 +303,11 @@
     assert len(fingerprints) == 3
 
 
-def lose_answers(table: tables.MemoryTable) -> None:
+def set_loses_answers(table: tables.MemoryTable) -> None:
     table.loses_answers = True
 
 
-def take_down(table: tables.MemoryTable) -> None:
+def set_down(table: tables.MemoryTable) -> None:
     table.is_down = True
 
 
@@ -315,8 +315,8 @@
     ("fault", "error"),
     [
         (lambda table: None, None),
-        (lose_answers, None),
-        (take_down, errors.StoreUnavailable),
+        (set_loses_answers, None),
+        (set_down, errors.StoreUnavailable),
     ],
 )
 def test_claim_of_a_suspect(
@@ -336,7 +336,7 @@
     asyncio.run(scenario())
 
 
-def test_row_of_a_dead_node_stands_for_a_conviction() -> None:
+def test_row_of_a_dead_node_expires_like_a_conviction() -> None:
     async def scenario() -> None:
         system = crashing.CrashingSystem(1)
         assert (await system.trials["n0"].claim("f")).is_ok()
@@ -348,7 +348,7 @@
     asyncio.run(scenario())
 
 
-def test_trial_that_a_dead_zone_ended_may_be_repeated() -> None:
+def test_trial_ended_by_a_zone_failure_may_be_repeated() -> None:
     async def scenario() -> None:
         system = crashing.CrashingSystem(1)
         state = system.quarantines["n0"]
@@ -377,10 +377,10 @@
 
 
 class QuarantineMachine(stateful.RuleBasedStateMachine):
-    """Callers, a request that crashes endpoints, dying zones, outages.
+    """Callers, a request that crashes endpoints, zone failures and outages.
 
-    The request is sent again by its caller once the copy before has met a
-    crash; not in parallel before the first one, see the module.
+    The request is resent by its caller once the previous copy has ended in a
+    crash, but not in parallel before the first crash; see ``quarantine``.
     """
 
     @stateful.initialize(seed=st.integers(0, 1_000))
@@ -430,14 +430,14 @@
     @stateful.rule()
     def settle(self) -> None:
         self.system.table.is_down = False
-        self.do(self.system.clock.advance(crashing.PATIENCE_S + 60.0))
+        self.do(self.system.clock.advance(crashing.REQUEST_TIMEOUT_S + 60.0))
         outcomes = dict(self.system.outcomes)
         outcomes.pop(POISON, None)
         assert set(outcomes.values()) <= {"answered"}, outcomes
 
     @stateful.invariant()
-    def poison_takes_two_endpoints_at_most(self) -> None:
-        """Convictions expire, so at most two in the time that one lasts."""
+    def poison_crashes_two_endpoints_at_most(self) -> None:
+        """Convictions expire, so at most two per conviction period."""
         if not hasattr(self, "system"):
             return
         since = self.system.clock.now - CONVICTION_S
--- a/tests/coordination/test_silent_peers.py
+++ b/tests/coordination/test_silent_peers.py
@@ -1,4 +1,4 @@
-"""Nodes that fall silent, and how soon the others stop naming them."""
+"""Nodes that stop responding, and how soon they are suspect."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 
 STEPS_PER_S = 5
-"""Extra rounds for urgent facts may follow each other so often."""
+"""Maximum rate of rounds, including extra ones for urgent facts."""
 
 
 async def _run(cluster: network.Cluster, seconds: int) -> None:
-    """Does a round a second, and extra ones where facts are urgent."""
+    """Runs a round per second, and extra rounds for urgent facts."""
     for step in range(seconds * STEPS_PER_S):
         for node in cluster.running():
             if step % STEPS_PER_S == 0:
@@ -41,14 +41,15 @@
 
 @pytest.mark.parametrize("nodes", [9, 60])
 @asynchronous.run
-async def test_a_node_without_power_is_suspect_within_two_seconds(
+async def test_a_node_that_lost_power_is_suspect_within_two_seconds(
     nodes: int,
 ) -> None:
-    """Callers are sent to a node that has lost power, and wait for a second.
+    """Callers sent to a node that lost power would wait for a second.
 
-    With 60 nodes heartbeats are three seconds apart, and two missed ones took
-    eight. Here a call to the node fails, its caller tells the others, each
-    calls the node itself, and all stop to name it.
+    With 60 nodes heartbeats are three seconds apart, and detection by two
+    missed heartbeats took eight seconds. Now a call to the node fails, the
+    calling node notifies the others, each probes the node itself, and all
+    consider it suspect.
     """
     cluster = await network.create_cluster(nodes)
     await cluster.run(12)
@@ -60,28 +61,28 @@
 
 
 @asynchronous.run
-async def test_a_live_node_stays_whatever_another_tells() -> None:
-    """A node that is slow would take live nodes from all callers.
+async def test_a_false_report_does_not_make_a_live_node_suspect() -> None:
+    """A node that is slow must not withhold live nodes from all callers.
 
-    It tells that two peers are silent; the others call these, get answers, and
-    go on naming them.
+    It reports that two peers are silent; the others probe these, get answers
+    and keep them alive.
     """
     cluster = await network.create_cluster(9)
     await cluster.run(5)
-    teller = cluster.running()[0]
+    reporter = cluster.running()[0]
     for name in ("node-3", "node-4"):
-        teller.publish(peers.FactKind.NODE_SILENT, name, b"true", 3.0)
+        reporter.publish(peers.FactKind.NODE_SILENT, name, b"true", 3.0)
     await _run(cluster, 2)
     for name in ("node-3", "node-4"):
         assert set(_states(cluster, name)) == {ALIVE}
 
 
 @asynchronous.run
-async def test_a_node_that_was_frozen_is_named_again_by_its_heartbeat() -> None:
-    """A node that woke again would get no callers for a minute.
+async def test_a_thawed_node_is_alive_again_after_its_heartbeat() -> None:
+    """Otherwise a thawed node would get no callers for a minute.
 
     Calls to it failed while it was frozen. In a large group it calls each
-    peer once in a minute; its heartbeat reaches all within seconds.
+    peer only once a minute, but its heartbeat reaches all within seconds.
     """
     cluster = await network.create_cluster(9)
     await cluster.run(5)
@@ -94,28 +95,29 @@
 
 
 @asynchronous.run
-async def test_a_node_that_reaches_nobody_accuses_nobody() -> None:
-    """A node that was cut off comes back with news that all others are dead."""
+async def test_a_node_that_reaches_no_peer_reports_no_peer() -> None:
+    """An isolated node must not report that all other nodes are silent."""
     cluster = await network.create_cluster(9)
     await cluster.run(5)
-    cut = cluster.running()[0]
-    others = {f"node-{n}" for n in range(9)} - {cut.node.name}
+    isolated = cluster.running()[0]
+    others = {f"node-{n}" for n in range(9)} - {isolated.node.name}
     for name in others:
         cluster.freeze(name)
     await _run(cluster, 1)
-    published = set(cut.facts(peers.FactKind.NODE_SILENT))
+    published = set(isolated.facts(peers.FactKind.NODE_SILENT))
     await _run(cluster, 6)
-    later = set(cut.facts(peers.FactKind.NODE_SILENT))
+    later = set(isolated.facts(peers.FactKind.NODE_SILENT))
     assert len(published) <= 4
     assert not later
 
 
 @asynchronous.run
-async def test_no_live_node_is_taken_for_silent_while_a_group_grows() -> None:
-    """Callers are named few nodes after all of a group have started again.
+async def test_no_live_node_is_suspect_while_a_group_grows() -> None:
+    """After a restart of all nodes, callers used to get only a few addresses.
 
-    Each of 60 nodes starts alone, and states for how long its fact holds in a
-    group that small. Peers that know all 60 dated its heartbeat by theirs.
+    Each of 60 nodes starts alone and publishes a time to live that suits such
+    a small group. Peers that know all 60 computed the time of its heartbeat
+    from their own, longer one.
     """
     cluster = await network.create_cluster(1)
     for number in range(1, 60):
--- a/tests/coordination/test_starting_together.py
+++ b/tests/coordination/test_starting_together.py
@@ -1,4 +1,4 @@
-"""All nodes of a group start at once, as after a loss of power."""
+"""All nodes of a group start at the same time, as after a power failure."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 from tests.coordination import network
 
 STEP_S = 0.1
-MEET_WITHIN_S = 2.0
-"""Callers that lost their node come back within a second or two."""
+DISCOVERY_LIMIT_S = 2.0
+"""Callers that lost their node reconnect within one or two seconds."""
 
 SETTINGS = peer_types.MembershipSettings(
-    interval_s=1.0, seeds_s=1.0, beats_per_s=40.0, meeting_s=MEET_WITHIN_S
+    interval_s=1.0, seeds_s=1.0, beats_per_s=40.0, meeting_s=DISCOVERY_LIMIT_S
 )
 
 
-async def started_together(size: int, seed: int) -> network.Cluster:
-    """Starts nodes that know all addresses and none of the others."""
+async def start_together(size: int, seed: int) -> network.Cluster:
+    """Starts nodes that have all seed addresses but don't know each other."""
     cluster = network.Cluster(seed, SETTINGS)
     names = [f"node-{number}" for number in range(size)]
     cluster.seeds = [network.address_of(name) for name in names]
     for name in names:
         address = network.address_of(name)
         cluster.nodes[name] = membership.create_membership(
-            network.MemoryLink(cluster.switchboard, address),
+            network.MemoryLink(cluster.simulated_network, address),
             cluster.clock,
             random.Random(cluster.rng.random()),
             peer_types.NodeIdentity(name, address, f"{name}:80", "a"),
@@ -41,14 +41,17 @@
 
 
 @pytest.mark.parametrize(("size", "seed"), [(6, 1), (75, 1), (75, 2)])
-def test_nodes_that_start_together_meet_before_callers_come_back(
+def test_nodes_that_start_together_discover_each_other_in_time(
     size: int, seed: int
 ) -> None:
-    """Each node would follow the store, and be named to callers, alone."""
+    """Otherwise each node would act as the only one of the group.
+
+    Each would follow the store alone, and callers would get only its address.
+    """
 
     async def scenario() -> None:
-        cluster = await started_together(size, seed)
-        for _ in range(round(MEET_WITHIN_S / STEP_S)):
+        cluster = await start_together(size, seed)
+        for _ in range(round(DISCOVERY_LIMIT_S / STEP_S)):
             await cluster.clock.advance(STEP_S)
         seen = [len(peers) for peers in cluster.views().values()]
         assert min(seen) >= 0.9 * (size - 1)
@@ -57,22 +60,22 @@
     asyncio.run(scenario())
 
 
-def test_rounds_are_as_seldom_as_ever_after_the_start() -> None:
-    """Frequent rounds for good would cost each node its byte budget."""
+def test_rounds_return_to_the_normal_interval_after_the_start() -> None:
+    """Permanently frequent rounds would use up each node's byte budget."""
 
     async def scenario() -> None:
-        cluster = await started_together(6, 1)
+        cluster = await start_together(6, 1)
         node = cluster.nodes["node-0"]
         assert node.interval_s() == SETTINGS.startup_interval_s
-        await cluster.clock.advance(MEET_WITHIN_S)
+        await cluster.clock.advance(DISCOVERY_LIMIT_S)
         assert node.interval_s() == SETTINGS.interval_s
         await asyncio.gather(*(n.close() for n in cluster.nodes.values()))
 
     asyncio.run(scenario())
 
 
-def test_addresses_outside_the_group_are_tried_seldom_after_the_start() -> None:
-    """Each node would call rows of nodes that are gone, round after round."""
+def test_non_member_addresses_are_called_rarely_after_the_start() -> None:
+    """Otherwise each node would call nodes that are gone in every round."""
 
     async def scenario() -> None:
         settings = dataclasses.replace(SETTINGS, seeds_s=10.0)
--- a/tests/coordination/test_versioned_config.py
+++ b/tests/coordination/test_versioned_config.py
@@ -83,9 +83,9 @@
     stored: bool,
 ) -> None:
     # The store refuses, loses an answer after the write took effect, or
-    # drops the write. The operator hears "accepted" only of a text that is
-    # kept, "unavailable" only of one that is not, and else "unknown" with
-    # the change id to go on with.
+    # drops the write. The operator gets "accepted" only for a text that is
+    # stored, "unavailable" only for one that is not, and otherwise "unknown"
+    # with the change id to retry with.
     store = fake_tables.FakeTableStore()
     store.outcomes.extend(outcomes)
     result = applied(node(store, clocks.VirtualClock()), "text", 0, "c1")
@@ -149,8 +149,8 @@
 def test_new_node_takes_highest_of_peers_as_unverified(
     offers: list[operations.ConfigVersion], in_force: int
 ) -> None:
-    # The platform is down when a node starts. Callers are served by the
-    # highest version that its peers know, and status says unverified.
+    # The platform is down when a node starts. It applies the highest version
+    # that its peers know, and its status shows it as unverified.
     store = fake_tables.FakeTableStore()
     store.down = True
     config = node(store, clocks.VirtualClock())
@@ -213,7 +213,7 @@
 
 
 class ConfigMachine(machines.LoopMachine):
-    """Operators race over three nodes, whose stores fail on their own."""
+    """Concurrent changes on three nodes whose stores fail independently."""
 
     def __init__(self) -> None:
         super().__init__()
