--- a/src/almondshift/coordination/drafts.py
+++ b/src/almondshift/coordination/drafts.py
@@ -33,13 +33,13 @@
         self.available = burst
         self.updated_at = now
 
-    def allowance(self, most: int, now: float) -> int:
-        """Returns how many bytes the next message may have, up to ``most``."""
+    def allowance(self, max_bytes: int, now: float) -> int:
+        """Returns the size limit of the next message in bytes."""
         self.available = min(
             self.burst, self.available + self.rate * (now - self.updated_at)
         )
         self.updated_at = now
-        return max(0, min(most, int(self.available)))
+        return max(0, min(max_bytes, int(self.available)))
 
     def spend(self, count: int) -> None:
         """Deducts bytes that were sent."""
--- a/src/almondshift/coordination/fact_exchange.py
+++ b/src/almondshift/coordination/fact_exchange.py
@@ -68,8 +68,10 @@
         draft = self.new_draft(now)
         self.merge_message(message, now, draft)
         is_new = len(message.digests) < self.settings.rotated_digests
-        most = drafts.MAX_DIGESTS if is_new else self.settings.rotated_digests
-        self.fill(draft, now, most)
+        max_digests = (
+            drafts.MAX_DIGESTS if is_new else self.settings.rotated_digests
+        )
+        self.fill(draft, now, max_digests)
         return self.finish_message(draft)
 
     def create_follow_up(
@@ -85,7 +87,7 @@
     def merge_message(
         self, message: peer_port.Exchange, now: float, draft: drafts.Draft
     ) -> None:
-        """Merges facts and heartbeats; adds to the draft what it lacks."""
+        """Merges facts and heartbeats; drafts what the sender lacks."""
         for fact in message.facts:
             self.merge_fact(fact, now, draft)
         for want in message.wants:
@@ -120,7 +122,7 @@
     def merge_digest(
         self, digest: peer_port.FactDigest, now: float, draft: drafts.Draft
     ) -> None:
-        """Compares a digest with the entry held here."""
+        """Merges a digest; drafts a newer version held or a request."""
         identity = (digest.kind, digest.key)
         entry = self.store.entries.get(identity)
         if entry is not None and drafts.supersedes(entry, digest, now):
@@ -159,12 +161,12 @@
             notice = dataclasses.replace(entry.fact(now), ttl_s=0.0, value=b"")
             draft.add_fact(notice)
             return
-        is_beat = (
+        is_heartbeat = (
             entry.kind is peer_port.FactKind.NODE
             and fact_store.generation(entry.version)
             == fact_store.generation(digest.version)
         )
-        if is_beat and entry.value:
+        if is_heartbeat and entry.value:
             draft.add_digest(entry.digest())
             return
         self.add_held_fact((entry.kind, entry.key), draft, now)
@@ -204,7 +206,7 @@
             return
         self.store.end(entry, notice.version, notice.origin, now)
         if is_live:
-            self.facts.tell(notice.kind, notice.key, None)
+            self.facts.notify_subscribers(notice.kind, notice.key, None)
 
     def republish(
         self, entry: fact_store.Entry, version: int, now: float
@@ -249,16 +251,16 @@
 
     def new_draft(self, now: float) -> drafts.Draft:
         """Returns an empty draft with the byte limit that applies now."""
-        most = self.settings.message_bytes - drafts.MESSAGE_OVERHEAD_BYTES
-        return drafts.Draft(self.budget.allowance(most, now))
+        max_bytes = self.settings.message_bytes - drafts.MESSAGE_OVERHEAD_BYTES
+        return drafts.Draft(self.budget.allowance(max_bytes, now))
 
-    def fill(self, draft: drafts.Draft, now: float, most_digests: int) -> None:
+    def fill(self, draft: drafts.Draft, now: float, max_digests: int) -> None:
         """Fills a draft: urgent facts, nodes, heartbeats, digests, bulk."""
         pending_facts = list(self.store.pending_facts)
         self.fill_facts(pending_facts, fact_store.URGENT_KINDS, draft, now)
         self.fill_facts(pending_facts, {peer_port.FactKind.NODE}, draft, now)
         self.fill_heartbeats(draft)
-        self.fill_digests(draft, now, most_digests)
+        self.fill_digests(draft, now, max_digests)
         self.fill_facts(pending_facts, fact_store.BULK_KINDS, draft, now)
 
     def fill_facts(
@@ -268,7 +270,7 @@
         draft: drafts.Draft,
         now: float,
     ) -> None:
-        """Drafts the pending facts of some kinds."""
+        """Adds the pending facts of some kinds to the draft."""
         for identity in pending_facts:
             if identity[0] in kinds and not self.add_held_fact(
                 identity, draft, now
@@ -276,19 +278,21 @@
                 return
 
     def fill_heartbeats(self, draft: drafts.Draft) -> None:
-        """Drafts the pending heartbeats."""
+        """Adds the pending heartbeats to the draft."""
         for identity in self.store.pending_heartbeats:
             if not draft.add_digest(self.store.entries[identity].digest()):
                 return
 
-    def fill_digests(self, draft: drafts.Draft, now: float, most: int) -> None:
-        """Drafts digests in rotation, in a third of the remaining space.
+    def fill_digests(
+        self, draft: drafts.Draft, now: float, max_digests: int
+    ) -> None:
+        """Adds digests in rotation, in a third of the remaining space.
 
         Digests only repair what forwarding missed, so a few suffice. A node
         that sent few itself is likely new and gets many, to request facts.
         """
         end = draft.remaining * 2 // 3
-        for entry in self.store.next_in_rotation(most, now):
+        for entry in self.store.next_in_rotation(max_digests, now):
             if draft.remaining <= end or not draft.add_digest(entry.digest()):
                 return
 
--- a/src/almondshift/coordination/leaving.py
+++ b/src/almondshift/coordination/leaving.py
@@ -7,7 +7,7 @@
 the list alone, endpoints would get new work until it catches up, and lose it.
 
 A name may be reused by a new VM. A report applies to one instance, so that a
-new instance under the same name is not leaving. The list has no instances: its
+new instance under the same name is not leaving. The list omits instances: its
 report applies to the instance that was present when it began. If an instance
 is replaced before the list shows the old one as leaving, the new one is
 therefore skipped until the list has caught up.
--- a/src/almondshift/coordination/membership.py
+++ b/src/almondshift/coordination/membership.py
@@ -221,7 +221,7 @@
         self, kind: peer_port.FactKind, key: str, fact: peer_port.Fact | None
     ) -> None:
         """Notifies the subscribers of a change."""
-        self.shared.tell(kind, key, fact)
+        self.shared.notify_subscribers(kind, key, fact)
 
     def peers(self) -> list[peer_types.PeerInfo]:
         """Returns all peers except this node, sorted by name."""
@@ -302,10 +302,10 @@
         return self.messages.create_reply(message, now)
 
     def was_paused(self, now: float) -> bool:
-        """Returns whether the last round is older than ``paused_s``."""
+        """Returns whether the last round is too long ago."""
         if self.last_round_at is None:
             return False
-        return now - self.last_round_at > self.settings.paused_s
+        return now - self.last_round_at > self.settings.pause_threshold_s
 
     async def run_round(self, urgent: bool = False) -> None:
         """Exchanges with a few random peers.
--- a/src/almondshift/coordination/peer_table.py
+++ b/src/almondshift/coordination/peer_table.py
@@ -70,23 +70,23 @@
 
     def suspect_after_s(self) -> float:
         """Returns the silence after which a node is suspect."""
-        beats = self.settings.silent_beats * self.heartbeat_interval_s()
-        return beats + self.settings.spread_s
+        missed_s = self.settings.silent_beats * self.heartbeat_interval_s()
+        return missed_s + self.settings.spread_s
 
     def dropped_after_s(self) -> float:
         """Returns the silence after which a node is dropped."""
-        beats = (
+        missed_s = (
             self.settings.drop_after_heartbeats * self.heartbeat_interval_s()
         )
-        return beats + self.settings.spread_s
+        return missed_s + self.settings.spread_s
 
     def heartbeat_ttl_s(self, entry: fact_store.Entry) -> float:
         """Returns how long a node's fact is valid after each heartbeat."""
-        return self.stated_ttl_s(
+        return self.published_ttl_s(
             self.node_value(entry) if entry.value else None
         )
 
-    def stated_ttl_s(self, value: peer_types.NodeValue | None) -> float:
+    def published_ttl_s(self, value: peer_types.NodeValue | None) -> float:
         """Returns the same from the fact's value, or a default if invalid."""
         if value is None or not 0.0 < value.holds_s <= MAX_NODE_TTL_S:
             return self.dropped_after_s()
@@ -125,8 +125,8 @@
             now: Monotonic seconds.
             suspect_s: Silence after which a peer is suspect.
         """
-        beat_at = entry.expires_at - self.stated_ttl_s(value)
-        heard_at = min(entry.updated_at, beat_at)
+        last_heartbeat_at = entry.expires_at - self.published_ttl_s(value)
+        heard_at = min(entry.updated_at, last_heartbeat_at)
         heard_at = max(heard_at, self.last_contact_at.get(entry.key, -math.inf))
         return peer_types.PeerInfo(
             name=entry.key,
--- a/src/almondshift/coordination/peer_types.py
+++ b/src/almondshift/coordination/peer_types.py
@@ -66,8 +66,8 @@
         drop_after_heartbeats: Missed heartbeats after which it is dropped.
         spread_s: Allowance for the propagation of a heartbeat to all nodes.
         failed_calls: Consecutive failed calls that make a peer suspect here.
-        paused_s: Time without a round after which this process must have
-            been frozen, and messages that waited meanwhile are stale.
+        pause_threshold_s: Time without a round after which this process must
+            have been frozen, and messages that waited meanwhile are stale.
         seeds_s: Time between calls to an address outside the membership.
         meeting_s: Time after the start in which rounds are more frequent.
         startup_interval_s: Time between rounds during that time.
@@ -86,7 +86,7 @@
     drop_after_heartbeats: int = 10
     spread_s: float = 2.0
     failed_calls: int = 2
-    paused_s: float = 5.0
+    pause_threshold_s: float = 5.0
     seeds_s: float = 10.0
     meeting_s: float = 0.0
     startup_interval_s: float = 0.3
--- a/src/almondshift/coordination/quarantine.py
+++ b/src/almondshift/coordination/quarantine.py
@@ -210,11 +210,11 @@
 
     def convict(self, fingerprint: str) -> quarantine_verdicts.Verdict:
         """Convicts a request and publishes it; returns the refusal."""
-        for_s = self.settings.conviction_s
-        self.convicted[fingerprint] = self.clock.monotonic() + for_s
+        duration_s = self.settings.conviction_s
+        self.convicted[fingerprint] = self.clock.monotonic() + duration_s
         self.crashes.drop(fingerprint)
         self.publisher.publish_convicted(fingerprint)
-        return quarantine_verdicts.refused(for_s, convicted=True)
+        return quarantine_verdicts.refused(duration_s, convicted=True)
 
     def passed(self, fingerprint: str) -> None:
         """Clears a suspect that got past the crash point; publishes it."""
@@ -277,13 +277,13 @@
             case "running":
                 self.merge_running(rest, fact)
             case "cleared" if fact is not None:
-                self.crashes.clear(rest, self.stated_at(fact))
+                self.crashes.clear(rest, self.published_at(fact))
             case "convicted" if fact is not None:
                 until = self.clock.monotonic() + fact.ttl_s
                 self.convicted[rest] = until
                 self.crashes.drop(rest)
 
-    def stated_at(self, fact: peers.Fact) -> float:
+    def published_at(self, fact: peers.Fact) -> float:
         """Returns the time at which a fact about a suspect was published."""
         age_s = max(0.0, self.settings.suspicion_s - fact.ttl_s)
         return self.clock.monotonic() - age_s
@@ -293,7 +293,7 @@
         if fact is None:
             self.crashes.exclude(key)
             return
-        crash = quarantine_facts.decode_crash(fact, self.stated_at(fact))
+        crash = quarantine_facts.decode_crash(fact, self.published_at(fact))
         if crash is None:
             return
         suspects = sorted(crash.fingerprints)
--- a/src/almondshift/coordination/quarantine_crashes.py
+++ b/src/almondshift/coordination/quarantine_crashes.py
@@ -93,18 +93,18 @@
             if crash.at <= started
         )
 
-    def exclude_if_infrastructure(self, judged: Crash) -> None:
+    def exclude_if_infrastructure(self, reference: Crash) -> None:
         """Excludes the crashes around one if they are of a rack or zone."""
-        near = {
+        nearby = {
             key: crash
             for key, crash in self.by_key.items()
-            if crash.zone == judged.zone
-            and abs(crash.at - judged.at) <= self.settings.window_s
+            if crash.zone == reference.zone
+            and abs(crash.at - reference.at) <= self.settings.window_s
         }
-        endpoints = {crash.endpoint for crash in near.values()}
+        endpoints = {crash.endpoint for crash in nearby.values()}
         if len(endpoints) < self.settings.infrastructure_min_endpoints:
             return
-        for key, crash in near.items():
+        for key, crash in nearby.items():
             if not crash.excluded and not crash.firm:
                 crash.excluded = True
                 if key.startswith(f"crash/{self.node}/"):
--- a/src/almondshift/coordination/shared_facts.py
+++ b/src/almondshift/coordination/shared_facts.py
@@ -115,7 +115,7 @@
         """
         self.callbacks.setdefault(kind, []).append(callback)
 
-    def tell(
+    def notify_subscribers(
         self, kind: peer_port.FactKind, key: str, fact: peer_port.Fact | None
     ) -> None:
         """Notifies the subscribers of a change.
@@ -136,7 +136,9 @@
             return False
         if self.is_urgent(fact):
             self.wake.set()
-        self.tell(fact.kind, fact.key, fact if fact.value else None)
+        self.notify_subscribers(
+            fact.kind, fact.key, fact if fact.value else None
+        )
         return True
 
     def is_urgent(self, fact: peer_port.Fact) -> bool:
@@ -180,4 +182,4 @@
         for entry in self.store.expire(now):
             if entry.kind is peer_port.FactKind.NODE:
                 self.table.keep_dropped_address(entry.key)
-            self.tell(entry.kind, entry.key, None)
+            self.notify_subscribers(entry.kind, entry.key, None)
--- a/tests/coordination/network.py
+++ b/tests/coordination/network.py
@@ -231,13 +231,15 @@
             self.clock.now += 1.0
             self.rounds += 1
 
-    async def run_until(self, condition: Callable[[], bool], most: int) -> int:
+    async def run_until(
+        self, condition: Callable[[], bool], max_rounds: int
+    ) -> int:
         """Runs rounds until a condition is true; returns the number."""
-        for done in range(most + 1):
+        for done in range(max_rounds + 1):
             if condition():
                 return done
             await self.run(1)
-        raise AssertionError(f"condition not met within {most} rounds")
+        raise AssertionError(f"condition not met within {max_rounds} rounds")
 
     def views(self) -> dict[str, set[str]]:
         """Returns the names of the peers that each running node knows."""
--- a/tests/coordination/test_membership_machine.py
+++ b/tests/coordination/test_membership_machine.py
@@ -22,7 +22,7 @@
 KINDS = [peers.FactKind.LEAVING, peers.FactKind.CONFIG]
 SETTLE_ROUNDS = 45
 
-WAITED_S = peer_types.MembershipSettings().paused_s + 1.0
+WAITED_S = peer_types.MembershipSettings().pause_threshold_s + 1.0
 """Time that a message may wait for a frozen node and still be accepted."""
 
 names = st.sampled_from(NAMES)
