--- a/tests/coordination/test_claims.py
+++ b/tests/coordination/test_claims.py
@@ -94,8 +94,8 @@
 
 
 @pytest.mark.parametrize("body", [b"short", b"x" * 10_000])
-@pytest.mark.parametrize("repeat_on", [0, 1])
-def test_repeat_gets_the_result(body: bytes, repeat_on: int) -> None:
+@pytest.mark.parametrize("retry_node", [0, 1])
+def test_retry_gets_the_result(body: bytes, retry_node: int) -> None:
     async def case() -> None:
         nodes = Nodes()
         claimed = await nodes.claimed(0)
@@ -103,8 +103,8 @@
         result = claim_rows.StoredResult(201, "text/plain", body)
         assert (await nodes.claims[0].finish(claimed, result)).is_ok()
         assert not nodes.claims[0].may_dispatch(claimed)
-        repeat = await nodes.claim(repeat_on)
-        assert repeat.ok == claims.Finished(result)
+        retry = await nodes.claim(retry_node)
+        assert retry.ok == claims.Finished(result)
 
     run(case())
 
@@ -134,37 +134,37 @@
     run(case())
 
 
-def test_repeat_waits_for_the_first() -> None:
+def test_retry_waits_for_the_first() -> None:
     # The caller's connection breaks and it retries through another node while
     # the first request still runs. It gets the result of the first one.
     async def case() -> None:
         nodes = Nodes()
         claimed = await nodes.claimed(0)
-        repeat = asyncio.create_task(nodes.claim(1))
+        retry = asyncio.create_task(nodes.claim(1))
         await nodes.clock.advance(2.0)
-        assert not repeat.done()
+        assert not retry.done()
         await nodes.claims[0].finish(claimed, RESULT)
         await nodes.clock.advance(1.0)
-        assert (await repeat).ok == claims.Finished(RESULT)
+        assert (await retry).ok == claims.Finished(RESULT)
 
     run(case())
 
 
-@pytest.mark.parametrize("fate", ["running", "silent", "restarted"])
-def test_repeat_never_runs_while_the_first_may(fate: str) -> None:
+@pytest.mark.parametrize("first_node_state", ["running", "silent", "restarted"])
+def test_retry_never_runs_while_the_first_may(first_node_state: str) -> None:
     # The first request is still running, or its node is frozen, dead or
     # restarted and has lost its state. The retry gets "outcome unknown" within
     # its own deadline and is not run.
     async def case() -> None:
         nodes = Nodes()
         await nodes.claimed(0)
-        if fate == "silent":
+        if first_node_state == "silent":
             nodes.silent.add("0")
-        if fate == "restarted":
+        if first_node_state == "restarted":
             nodes.claims[0] = nodes.create(0)
-        repeat = await nodes.claim_in_time(1)
-        assert type(repeat.error) is errors.OutcomeUnknown
-        assert repeat.error.execution is errors.Execution.UNKNOWN
+        retry = await nodes.claim_in_time(1)
+        assert type(retry.error) is errors.OutcomeUnknown
+        assert retry.error.execution is errors.Execution.UNKNOWN
 
     run(case())
 
@@ -262,7 +262,7 @@
     run(case())
 
 
-def test_result_is_kept_while_the_store_is_away() -> None:
+def test_result_is_kept_while_the_store_is_down() -> None:
     # The store goes down while the request runs. A retry at the same node
     # gets the result; once the store is up again, so does one at another node.
     async def case() -> None:
--- a/tests/coordination/test_lease.py
+++ b/tests/coordination/test_lease.py
@@ -81,7 +81,7 @@
     asyncio.run(case())
 
 
-def test_a_process_that_does_not_contend_checks_seldom_whether_it_may() -> None:
+def test_process_that_may_not_contend_rarely_checks_again() -> None:
     """Otherwise each of hundreds of nodes would list all others 10 times/s."""
 
     async def case() -> None:
@@ -112,7 +112,7 @@
     asyncio.run(case())
 
 
-def test_a_holder_renews_by_one_call() -> None:
+def test_holder_renews_by_one_call() -> None:
     """Reads by the holder would double the load of a lease on the store.
 
     The holder renews on its own last revision. After a renewal whose answer is
--- a/tests/coordination/test_over_platform.py
+++ b/tests/coordination/test_over_platform.py
@@ -106,14 +106,14 @@
         platform.state.faults.set(faults.Switch())
         await nodes[0].flush()
         await nodes[1].flush()
-        repeat = await nodes[0].claim("a", "s", "k0", b"b", 1e12)
-        assert repeat.ok == claims.Finished(RESULT)
+        retry = await nodes[0].claim("a", "s", "k0", b"b", 1e12)
+        assert retry.ok == claims.Finished(RESULT)
 
     run(case)
 
 
 @pytest.mark.parametrize("switch", [DOWN, HANGING])
-def test_platform_away_means_not_run(switch: faults.Switch) -> None:
+def test_platform_down_means_not_run(switch: faults.Switch) -> None:
     async def case(platform: server.PlatformServer, stores: Stores) -> None:
         platform.state.faults.set(switch)
         node = create_claims(stores, "n1")
@@ -135,7 +135,7 @@
     )
 
 
-def test_lost_apply_is_in_force_everywhere() -> None:
+def test_apply_with_a_lost_answer_is_active_on_all_nodes() -> None:
     # The answer to an apply is lost after the write took effect. The
     # operator gets the accepted version, and another node applies it soon.
     async def case(platform: server.PlatformServer, stores: Stores) -> None:
--- a/tests/coordination/test_versioned_config.py
+++ b/tests/coordination/test_versioned_config.py
@@ -77,7 +77,7 @@
         ),
     ],
 )
-def test_apply_says_what_is_known(
+def test_apply_reports_the_known_outcome(
     outcomes: list[Outcome],
     expected: type[errors.AlmondshiftError] | None,
     stored: bool,
@@ -137,7 +137,7 @@
 
 
 @pytest.mark.parametrize(
-    ("offers", "in_force"),
+    ("offers", "active_version"),
     [
         ([version(3, "c")], 3),
         ([version(3, "c"), version(2, "b")], 3),
@@ -147,7 +147,7 @@
     ],
 )
 def test_new_node_takes_highest_of_peers_as_unverified(
-    offers: list[operations.ConfigVersion], in_force: int
+    offers: list[operations.ConfigVersion], active_version: int
 ) -> None:
     # The platform is down when a node starts. It applies the highest version
     # that its peers know, and its status shows it as unverified.
@@ -157,15 +157,17 @@
     for offered in offers:
         config.offer(offered)
     assert config.current is not None
-    assert config.current.version == in_force
+    assert config.current.version == active_version
     assert not config.current.verified
     assert (
         config.value
-        == offers[[o.version for o in offers].index(in_force)].text.upper()
+        == offers[
+            [o.version for o in offers].index(active_version)
+        ].text.upper()
     )
 
 
-def test_store_confirms_or_corrects_what_peers_said() -> None:
+def test_store_confirms_or_corrects_versions_from_peers() -> None:
     store = fake_tables.FakeTableStore()
     clock = clocks.VirtualClock()
     applied(node(store, clock), "first", 0, "c1")
@@ -191,7 +193,7 @@
     assert old.rejected.version == 2
 
 
-def test_read_loop_backs_off_while_the_store_is_away() -> None:
+def test_read_loop_backs_off_while_the_store_is_down() -> None:
     async def case() -> tuple[int, int]:
         store = fake_tables.FakeTableStore()
         clock = clocks.VirtualClock()
@@ -220,13 +222,13 @@
         shared = tables.MemoryTables()
         self.stores = [fake_tables.FakeTableStore(shared) for _ in range(3)]
         self.configs = [node(store, self.clock) for store in self.stores]
-        self.in_force = [0, 0, 0]
+        self.active_versions = [0, 0, 0]
         self.applies: list[
             tuple[str, str, asyncio.Task[versioned_config.VersionResult]]
         ] = []
         self.texts: dict[int, str] = {}
         for config in self.configs:
-            config.subscribe(self.came_into_force)
+            config.subscribe(self.on_active_version)
         self.begin_with_two_versions()
 
     def begin_with_two_versions(self) -> None:
@@ -235,7 +237,7 @@
         self.run(self.configs[1].poll())
         self.run(self.configs[0].apply("two", 1, "b", "ana"))
 
-    def came_into_force(
+    def on_active_version(
         self, accepted: operations.ConfigVersion, value: str
     ) -> None:
         assert not accepted.text.startswith("bad")
@@ -297,8 +299,8 @@
         for index, config in enumerate(self.configs):
             current = config.current
             newest = 0 if current is None else current.version
-            assert newest >= self.in_force[index]
-            self.in_force[index] = newest
+            assert newest >= self.active_versions[index]
+            self.active_versions[index] = newest
 
     def teardown(self) -> None:
         try:
