--- a/tests/coordination/test_over_platform.py
+++ b/tests/coordination/test_over_platform.py
@@ -30,7 +30,7 @@
 
 
 class Stores:
-    """Stores of one node over the stand-in."""
+    """Stores of one node on the platform stand-in."""
 
     def __init__(self, address: str) -> None:
         self.table = platform_store.create_table_store(address, TIMEOUT_S)
@@ -82,9 +82,9 @@
 def test_requests_run_once_though_answers_are_lost(
     switch: faults.Switch,
 ) -> None:
-    # Ten requests come through two nodes at once while the platform loses
+    # Ten requests are sent through two nodes at once while the platform loses
     # answers after writes took effect. Each key is dispatched at most once,
-    # and whoever is told "finished" gets the result of that run.
+    # and whoever gets "finished" gets the result of that run.
     async def case(platform: server.PlatformServer, stores: Stores) -> None:
         platform.state.faults.set(switch)
         nodes = [create_claims(stores, node) for node in ("n1", "n2")]
@@ -106,14 +106,14 @@
         platform.state.faults.set(faults.Switch())
         await nodes[0].flush()
         await nodes[1].flush()
-        repeat = await nodes[0].claim("a", "s", "k0", b"b", 1e12)
-        assert repeat.ok == claims.Finished(RESULT)
+        retry = await nodes[0].claim("a", "s", "k0", b"b", 1e12)
+        assert retry.ok == claims.Finished(RESULT)
 
     run(case)
 
 
 @pytest.mark.parametrize("switch", [DOWN, HANGING])
-def test_platform_away_means_not_run(switch: faults.Switch) -> None:
+def test_platform_down_means_not_run(switch: faults.Switch) -> None:
     async def case(platform: server.PlatformServer, stores: Stores) -> None:
         platform.state.faults.set(switch)
         node = create_claims(stores, "n1")
@@ -135,9 +135,9 @@
     )
 
 
-def test_lost_apply_is_in_force_everywhere() -> None:
+def test_apply_with_a_lost_answer_is_active_on_all_nodes() -> None:
     # The answer to an apply is lost after the write took effect. The
-    # operator hears that it was accepted, and another node has it soon.
+    # operator gets the accepted version, and another node applies it soon.
     async def case(platform: server.PlatformServer, stores: Stores) -> None:
         first, second = create_config(stores), create_config(stores)
         await second.start()
@@ -152,11 +152,11 @@
 
 
 def test_lease_lapses_while_the_platform_hangs() -> None:
-    # The platform hangs: the holder has no grant once its duration is over,
-    # and takes the lease again with a higher number when it is back.
+    # The platform hangs: the holder has no grant once the duration is over,
+    # and acquires the lease again with a higher fencing token afterwards.
     async def case(platform: server.PlatformServer, stores: Stores) -> None:
         short = lease.LeaseSettings(
-            duration_s=0.4, renew_s=0.1, watch_s=0.1, drift=0.05
+            duration_s=0.4, renew_s=0.1, watch_s=0.1, max_clock_drift=0.05
         )
         rng = random.Random(1)
         held = lease.create_lease(stores.table, CLOCK, rng, "l", "n1", short)
