--- a/src/almondshift/adapters/byte_tokenizer.py
+++ b/src/almondshift/adapters/byte_tokenizer.py
@@ -4,7 +4,7 @@
 
 from almondshift.ports import tokenizers
 
-_BYTE = 256
+_BYTE_VALUES = 256
 
 
 class ByteTokenizer(tokenizers.Tokenizer):
@@ -16,7 +16,7 @@
 
     def decode(self, tokens: tuple[int, ...]) -> str:
         """Returns the text; invalid UTF-8 sequences become U+FFFD."""
-        content = bytes(token % _BYTE for token in tokens)
+        content = bytes(token % _BYTE_VALUES for token in tokens)
         return content.decode(errors="replace")
 
 
--- a/src/almondshift/adapters/curl_calls.py
+++ b/src/almondshift/adapters/curl_calls.py
@@ -26,10 +26,10 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-SHORTEST_TIMEOUT_S = 0.001
+MIN_TIMEOUT_S = 0.001
 """libcurl counts in whole milliseconds and treats 0 as no limit."""
 
-MAX_REPLY_BYTES = 64 * 1024 * 1024
+MAX_RESPONSE_BYTES = 64 * 1024 * 1024
 
 CallError = errors.EndpointUnreachable | errors.EndpointOutcomeUnknown
 
@@ -55,7 +55,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Reply:
+class Response:
     """A complete HTTP response."""
 
     status: int
@@ -63,7 +63,7 @@
     body: bytes
 
 
-CallResult = expression.Result[Reply, CallError]
+CallResult = expression.Result[Response, CallError]
 
 
 class Transfer:
@@ -78,7 +78,7 @@
     def __init__(self, call: Call) -> None:
         self.call = call
         self.sent = False
-        self.source = io.BytesIO(call.body or b"")
+        self.body_reader = io.BytesIO(call.body or b"")
 
     def prepare(self, curl: pycurl.Curl) -> None:
         """Sets the curl options, just before the transfer starts."""
@@ -88,7 +88,7 @@
             curl.setopt(pycurl.SEEKFUNCTION, refuse_seek)
         if not self.call.body:
             curl.setopt(pycurl.VERBOSE, 1)
-            curl.setopt(pycurl.DEBUGFUNCTION, self.watch)
+            curl.setopt(pycurl.DEBUGFUNCTION, self.on_debug)
         if self.call.fresh:
             curl.setopt(pycurl.FRESH_CONNECT, 1)
             curl.setopt(pycurl.FORBID_REUSE, 1)
@@ -96,9 +96,9 @@
     def read(self, size: int) -> bytes:
         """Returns the next part of the body (called by libcurl)."""
         self.sent = True
-        return self.source.read(size)
+        return self.body_reader.read(size)
 
-    def watch(self, kind: int, _: bytes) -> None:
+    def on_debug(self, kind: int, _: bytes) -> None:
         """Notes that libcurl has sent bytes (called by libcurl)."""
         if kind in (pycurl.INFOTYPE_HEADER_OUT, pycurl.INFOTYPE_DATA_OUT):
             self.sent = True
@@ -121,18 +121,18 @@
         self.connect_timeout_s = connect_timeout_s
         self.slots = asyncio.Semaphore(max_connections)
         self.client: curl_client.ClosableCurlClient | None = None
-        self.waiting: set[asyncio.Future[CallResult]] = set()
+        self.in_flight: set[asyncio.Future[CallResult]] = set()
 
     def start(self) -> None:
         """Creates the HTTP client; needs a running loop. Idempotent."""
         if self.client is None:
             self.client = curl_client.create_curl_client(
-                self.max_connections, MAX_REPLY_BYTES
+                self.max_connections, MAX_RESPONSE_BYTES
             )
 
     def close(self) -> None:
         """Closes connections; calls in flight end with an unknown outcome."""
-        fail_waiting(self.waiting)
+        fail_in_flight(self.in_flight)
         if self.client is not None:
             self.client.close()
             self.client = None
@@ -152,22 +152,24 @@
             ``EndpointOutcomeUnknown``.
         """
         if self.client is None:
-            return unreachable(call, "the client is closed")
+            return unreachable_error(call, "the client is closed")
         begun_at = asyncio.get_running_loop().time()
         if not await self._take_slot(call.timeout_s):
-            return unreachable(call, "timed out waiting for a free connection")
+            return unreachable_error(
+                call, "timed out waiting for a free connection"
+            )
         if self.client is None:
             self.slots.release()
-            return unreachable(call, "the client is closed")
+            return unreachable_error(call, "the client is closed")
         waited_s = asyncio.get_running_loop().time() - begun_at
-        done = self._begin(call, call.timeout_s - waited_s)
-        self.waiting.add(done)
-        group.add(done)
+        pending = self._start_transfer(call, call.timeout_s - waited_s)
+        self.in_flight.add(pending)
+        group.add(pending)
         try:
-            return await done
+            return await pending
         finally:
-            self.waiting.discard(done)
-            group.discard(done)
+            self.in_flight.discard(pending)
+            group.discard(pending)
 
     async def _take_slot(self, timeout_s: float) -> bool:
         if not self.slots.locked():
@@ -179,7 +181,7 @@
             return False
         return True
 
-    def _begin(
+    def _start_transfer(
         self, call: Call, timeout_s: float
     ) -> asyncio.Future[CallResult]:
         """Starts a transfer.
@@ -188,7 +190,7 @@
         stops waiting, because its curl handle is in use until then.
         """
         transfer = Transfer(call)
-        done: asyncio.Future[CallResult] = (
+        pending: asyncio.Future[CallResult] = (
             asyncio.get_running_loop().create_future()
         )
 
@@ -197,20 +199,20 @@
         ) -> None:
             self.slots.release()
             result = read_response(transfer, fetched)
-            if not done.done():
-                done.set_result(result)
+            if not pending.done():
+                pending.set_result(result)
 
         assert self.client is not None
         request = self._build_request(transfer, timeout_s)
         fetching = self.client.fetch(request, raise_error=False)
         asyncio.ensure_future(fetching).add_done_callback(finish)
-        return done
+        return pending
 
     def _build_request(
         self, transfer: Transfer, timeout_s: float
     ) -> httpclient.HTTPRequest:
         call = transfer.call
-        timeout_s = max(timeout_s, SHORTEST_TIMEOUT_S)
+        timeout_s = max(timeout_s, MIN_TIMEOUT_S)
         return httpclient.HTTPRequest(
             call.url,
             method=call.method,
@@ -225,14 +227,14 @@
         )
 
 
-def fail_waiting(group: set[asyncio.Future[CallResult]]) -> None:
+def fail_in_flight(group: set[asyncio.Future[CallResult]]) -> None:
     """Fails the calls of a group; their late responses are dropped."""
-    for done in list(group):
-        if not done.done():
+    for pending in list(group):
+        if not pending.done():
             error = errors.EndpointOutcomeUnknown(
                 "The connection was closed while the call was in flight."
             )
-            done.set_result(expression.Error(error))
+            pending.set_result(expression.Error(error))
 
 
 def read_response(
@@ -243,28 +245,28 @@
     if failure is None:
         response = fetched.result()
         failure = response.error
-        if failure is None or is_status(failure):
-            reply = Reply(response.code, response.headers, response.body)
+        if failure is None or is_status_error(failure):
+            reply = Response(response.code, response.headers, response.body)
             return expression.Ok(reply)
     if transfer.sent:
-        return unknown(transfer.call, str(failure))
-    return unreachable(transfer.call, str(failure))
+        return unknown_outcome_error(transfer.call, str(failure))
+    return unreachable_error(transfer.call, str(failure))
 
 
-def is_status(failure: BaseException) -> bool:
+def is_status_error(failure: BaseException) -> bool:
     """Returns whether an error only reports the status of a full response."""
     if isinstance(failure, curl_httpclient.CurlError):
         return False
     return isinstance(failure, httpclient.HTTPError)
 
 
-def unreachable(call: Call, reason: str) -> CallResult:
+def unreachable_error(call: Call, reason: str) -> CallResult:
     """Returns the error of a call that was not sent."""
     detail = f"{call.endpoint} could not be reached: {reason}."
     return expression.Error(errors.EndpointUnreachable(detail))
 
 
-def unknown(call: Call, reason: str) -> CallResult:
+def unknown_outcome_error(call: Call, reason: str) -> CallResult:
     """Returns the error of a call that may have run."""
     detail = f"{call.endpoint} returned no complete response: {reason}."
     return expression.Error(errors.EndpointOutcomeUnknown(detail))
--- a/src/almondshift/adapters/curl_client.py
+++ b/src/almondshift/adapters/curl_client.py
@@ -4,7 +4,7 @@
 
 from tornado import curl_httpclient
 
-MAX_ANSWER_BYTES = 100 * 1024 * 1024
+MAX_RESPONSE_BYTES = 100 * 1024 * 1024
 
 
 class ClosableCurlClient(curl_httpclient.CurlAsyncHTTPClient):
@@ -20,7 +20,7 @@
 
 
 def create_curl_client(
-    max_clients: int, max_body_size: int = MAX_ANSWER_BYTES
+    max_clients: int, max_body_size: int = MAX_RESPONSE_BYTES
 ) -> ClosableCurlClient:
     """Builds a separate client, not tornado's shared instance.
 
--- a/src/almondshift/adapters/engine_messages.py
+++ b/src/almondshift/adapters/engine_messages.py
@@ -22,7 +22,7 @@
 
 MSGPACK_TYPE = "application/msgpack"
 JSON_TYPE = "application/json"
-KEPT_RANGES = 256
+RANGE_CACHE_SIZE = 256
 NOT_RUN_HEADER = "X-Not-Run"
 
 STEPS_PATH = "/v1/steps"
@@ -130,7 +130,7 @@
 _msgpack_encoder = msgspec.msgpack.Encoder()
 
 
-@functools.lru_cache(maxsize=KEPT_RANGES)
+@functools.lru_cache(maxsize=RANGE_CACHE_SIZE)
 def make_range(start: int, end: int) -> layers.LayerRange:
     """Returns a cached range; equal ranges share one object."""
     return layers.LayerRange(start, end)
--- a/src/almondshift/adapters/fleet_checks.py
+++ b/src/almondshift/adapters/fleet_checks.py
@@ -29,7 +29,7 @@
 def _check_service(service: fleet.Service, described: fleet.Fleet) -> None:
     section = f"service {service.name}"
     for name in service.depends_on:
-        _check_name(section, "depends_on", name, described.services)
+        _check_defined(section, "depends_on", name, described.services)
     if service.kind is fleet.ServiceKind.PLAIN:
         _check_plain(section, service)
         return
@@ -40,10 +40,10 @@
             key="model",
             remedy="Name a [model NAME] section, or write kind = plain.",
         )
-    _check_name(section, "model", service.model, described.models)
+    _check_defined(section, "model", service.model, described.models)
     adapters = described.models[service.model].adapters
     if service.adapter:
-        _check_name(section, "adapter", service.adapter, adapters)
+        _check_defined(section, "adapter", service.adapter, adapters)
 
 
 def _check_plain(section: str, service: fleet.Service) -> None:
@@ -57,7 +57,7 @@
             )
 
 
-def _check_name(
+def _check_defined(
     section: str, key: str, name: str, known: Collection[str]
 ) -> None:
     if name not in known:
@@ -65,7 +65,7 @@
             f"{ini_sections.shorten(name)} is not defined.",
             section=section,
             key=key,
-            remedy=ini_sections.nearest(name, list(known)),
+            remedy=ini_sections.suggest(name, list(known)),
         )
 
 
@@ -87,18 +87,18 @@
 ) -> list[str]:
     # Iterative: a dependency chain may be deeper than Python's recursion limit.
     path: list[str] = []
-    on_path: set[str] = set()
+    path_names: set[str] = set()
     todo: list[tuple[str, bool]] = [(start, False)]
     while todo:
-        name, leave = todo.pop()
-        if leave:
-            on_path.discard(path.pop())
+        name, is_exit = todo.pop()
+        if is_exit:
+            path_names.discard(path.pop())
             done.add(name)
-        elif name in on_path:
+        elif name in path_names:
             return [*path[path.index(name) :], name]
         elif name not in done:
             path.append(name)
-            on_path.add(name)
+            path_names.add(name)
             todo.append((name, True))
             todo.extend((n, False) for n in services[name].depends_on)
     return []
@@ -109,7 +109,7 @@
     for account in described.accounts.values():
         section = f"account {account.name}"
         for name in account.services:
-            _check_name(section, "services", name, described.services)
+            _check_defined(section, "services", name, described.services)
         owner = owners.setdefault(account.key_hash, account.name)
         if owner != account.name:
             raise errors.ConfigInvalid(
@@ -124,7 +124,7 @@
     by_model: dict[str, list[fleet.Pin]] = {}
     for pin in described.pins:
         section = f"pin {pin.pattern}"
-        _check_name(section, "model", pin.model, described.models)
+        _check_defined(section, "model", pin.model, described.models)
         _check_range(section, pin, described.models[pin.model].layers)
         by_model.setdefault(pin.model, []).append(pin)
     for model, pins in by_model.items():
@@ -143,31 +143,33 @@
 
 def _check_gaps(pins: list[fleet.Pin], layers: int) -> None:
     """Rejects pins that are not part of a chain over all layers."""
-    reached = {0}
+    chain_ends = {0}
     for pin in sorted(pins, key=lambda p: p.layers):
-        if pin.layers.start not in reached:
-            end = max(reached)
-            raise _gap(
+        if pin.layers.start not in chain_ends:
+            end = max(chain_ends)
+            raise _gap_error(
                 pin,
                 f"ends at layer {pin.layers.start}; the preceding pins end "
                 f"at {end}.",
                 f"Start it at {end}, or add a pin in between.",
             )
-        reached.add(pin.layers.end)
-    continued = {layers}
+        chain_ends.add(pin.layers.end)
+    chain_starts = {layers}
     for pin in sorted(pins, key=lambda p: p.layers.end, reverse=True):
         end = pin.layers.end
-        if end not in continued:
-            following = min(layer for layer in continued if layer > end)
-            raise _gap(
+        if end not in chain_starts:
+            following = min(layer for layer in chain_starts if layer > end)
+            raise _gap_error(
                 pin,
                 f"starts at layer {end}.",
                 f"Add a pin for {end}-{following}.",
             )
-        continued.add(pin.layers.start)
+        chain_starts.add(pin.layers.start)
 
 
-def _gap(pin: fleet.Pin, detail: str, remedy: str) -> errors.ConfigInvalid:
+def _gap_error(
+    pin: fleet.Pin, detail: str, remedy: str
+) -> errors.ConfigInvalid:
     return errors.ConfigInvalid(
         f"no pin of model {pin.model} {detail}",
         section=f"pin {pin.pattern}",
--- a/src/almondshift/adapters/fleet_render.py
+++ b/src/almondshift/adapters/fleet_render.py
@@ -12,7 +12,7 @@
 
     from almondshift.model import fleet
 
-Described = dict[str, dict[str, str]]
+Rendered = dict[str, dict[str, str]]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -50,9 +50,9 @@
     return changes + _order_changes(before, after)
 
 
-def describe(described: fleet.Fleet) -> Described:
+def describe(described: fleet.Fleet) -> Rendered:
     """Returns the values in INI form, by section title and key."""
-    sections: Described = {
+    sections: Rendered = {
         "fleet": {
             "name": described.name,
             "body_limit_bytes": str(described.body_limit_bytes),
@@ -149,7 +149,7 @@
 
 
 def _section_changes(
-    section: str, before: Described, after: Described
+    section: str, before: Rendered, after: Rendered
 ) -> list[Change]:
     if section not in before:
         return [Change(section, None, None, "added")]
@@ -164,7 +164,7 @@
     ]
 
 
-def _order_changes(before: Described, after: Described) -> list[Change]:
+def _order_changes(before: Rendered, after: Rendered) -> list[Change]:
     """Compares the order: the first matching endpoint section applies."""
     old = [s for s in before if s.startswith("endpoint ") and s in after]
     new = [s for s in after if s.startswith("endpoint ") and s in before]
--- a/src/almondshift/adapters/fleet_text.py
+++ b/src/almondshift/adapters/fleet_text.py
@@ -15,7 +15,7 @@
 BYTES_PER_MEGABYTE = 1e6
 MAX_ARGUMENT_LENGTH = 200
 
-Built = list[tuple[ini_sections.Section, ini_sections.SectionModel]]
+Sections = list[tuple[ini_sections.Section, ini_sections.SectionModel]]
 
 
 def parse(
@@ -37,24 +37,24 @@
 
 
 def _parse(text: str, version: int) -> fleet.Fleet:
-    built = [_build(section) for section in ini_sections.read(text)]
-    head = _head(built)
+    sections = [_build_section(section) for section in ini_sections.read(text)]
+    fleet_section = _fleet_section(sections)
     described = fleet.Fleet(
         version=version,
-        name=head.name,
-        models=_models(built),
-        services=_services(built),
-        endpoint_rules=_endpoint_rules(built),
-        links=_links(built),
-        accounts=_accounts(built),
-        body_limit_bytes=head.body_limit_bytes,
-        pins=_pins(built),
+        name=fleet_section.name,
+        models=_models(sections),
+        services=_services(sections),
+        endpoint_rules=_endpoint_rules(sections),
+        links=_links(sections),
+        accounts=_accounts(sections),
+        body_limit_bytes=fleet_section.body_limit_bytes,
+        pins=_pins(sections),
     )
     fleet_checks.check(described)
     return described
 
 
-def _build(
+def _build_section(
     section: ini_sections.Section,
 ) -> tuple[ini_sections.Section, ini_sections.SectionModel]:
     model = fleet_sections.KINDS.get(section.kind)
@@ -63,7 +63,7 @@
             "is not a known kind of section.",
             section=ini_sections.shorten(section.title),
             key=None,
-            remedy=ini_sections.nearest(
+            remedy=ini_sections.suggest(
                 section.kind, list(fleet_sections.KINDS)
             ),
         )
@@ -90,8 +90,8 @@
     )
 
 
-def _head(built: Built) -> fleet_sections.FleetSection:
-    for _, model in built:
+def _fleet_section(sections: Sections) -> fleet_sections.FleetSection:
+    for _, model in sections:
         if isinstance(model, fleet_sections.FleetSection):
             return model
     raise errors.ConfigInvalid(
@@ -102,7 +102,7 @@
     )
 
 
-def _models(built: Built) -> dict[str, fleet.Model]:
+def _models(sections: Sections) -> dict[str, fleet.Model]:
     return {
         section.arguments[0]: fleet.Model(
             name=section.arguments[0],
@@ -111,15 +111,15 @@
             adapters=model.adapters,
             layer_bytes=model.layer_bytes,
         )
-        for section, model in built
+        for section, model in sections
         if isinstance(model, fleet_sections.ModelSection)
     }
 
 
-def _services(built: Built) -> dict[str, fleet.Service]:
+def _services(sections: Sections) -> dict[str, fleet.Service]:
     return {
         section.arguments[0]: _service(section.arguments[0], model)
-        for section, model in built
+        for section, model in sections
         if isinstance(model, fleet_sections.ServiceSection)
     }
 
@@ -152,18 +152,18 @@
     )
 
 
-def _endpoint_rules(built: Built) -> tuple[fleet.EndpointRule, ...]:
+def _endpoint_rules(sections: Sections) -> tuple[fleet.EndpointRule, ...]:
     return tuple(
         fleet.EndpointRule(section.arguments[0], model.checks_fencing)
-        for section, model in built
+        for section, model in sections
         if isinstance(model, fleet_sections.EndpointSection)
     )
 
 
-def _pins(built: Built) -> tuple[fleet.Pin, ...]:
+def _pins(sections: Sections) -> tuple[fleet.Pin, ...]:
     return tuple(
         fleet.Pin(section.arguments[0], model.model, _range(model.layers))
-        for section, model in built
+        for section, model in sections
         if isinstance(model, fleet_sections.PinSection)
     )
 
@@ -173,9 +173,9 @@
     return layers.LayerRange(int(start), int(end))
 
 
-def _links(built: Built) -> tuple[fleet.Link, ...]:
+def _links(sections: Sections) -> tuple[fleet.Link, ...]:
     links: dict[frozenset[str], fleet.Link] = {}
-    for section, model in built:
+    for section, model in sections:
         if not isinstance(model, fleet_sections.LinkSection):
             continue
         zone_a, zone_b = section.arguments
@@ -195,7 +195,7 @@
     return tuple(links.values())
 
 
-def _accounts(built: Built) -> dict[str, fleet.Account]:
+def _accounts(sections: Sections) -> dict[str, fleet.Account]:
     return {
         section.arguments[0]: fleet.Account(
             name=section.arguments[0],
@@ -204,6 +204,6 @@
             tokens_per_s=model.tokens_per_s,
             services=model.services,
         )
-        for section, model in built
+        for section, model in sections
         if isinstance(model, fleet_sections.AccountSection)
     }
--- a/src/almondshift/adapters/http_caller.py
+++ b/src/almondshift/adapters/http_caller.py
@@ -22,8 +22,8 @@
     from collections.abc import Callable
 
 CONNECT_TIMEOUT_S = 1.0
-SPARE_S = 5.0
-NO_ANSWER = 599
+DEADLINE_MARGIN_S = 5.0
+NO_RESPONSE_STATUS = 599
 MAX_CLIENTS = 2000
 
 
@@ -42,7 +42,7 @@
         unreachable: Whether no connection was made, so nothing was sent.
     """
 
-    status: int = NO_ANSWER
+    status: int = NO_RESPONSE_STATUS
     tokens: list[int] = dataclasses.field(default_factory=list)
     text: str = ""
     whole: bool = False
@@ -64,7 +64,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Reply:
+class _Response:
     code: int
     content_type: str
     body: bytes
@@ -79,24 +79,24 @@
     ) -> None:
         self.answer = answer
         self.on_token = on_token
-        self._rest = b""
+        self._buffer = b""
 
     def feed(self, content: bytes) -> None:
-        self._rest += content
-        *whole, self._rest = self._rest.split(b"\n\n")
+        self._buffer += content
+        *whole, self._buffer = self._buffer.split(b"\n\n")
         for event in whole:
-            self._take(event)
+            self._handle_event(event)
 
-    def _take(self, event: bytes) -> None:
+    def _handle_event(self, event: bytes) -> None:
         if event.startswith(b"event: error"):
             self.answer.problem = json.loads(event.partition(b"data: ")[2])
             return
         data = event.removeprefix(b"data: ")
         if data == b"[DONE]":
             return
-        self._take_chunk(json.loads(data))
+        self._handle_chunk(json.loads(data))
 
-    def _take_chunk(self, chunk: dict[str, Any]) -> None:
+    def _handle_chunk(self, chunk: dict[str, Any]) -> None:
         choice = chunk["choices"][0]
         self.answer.text += choice["text"]
         for token in choice["tokens"]:
@@ -116,11 +116,11 @@
         addresses: Entry addresses, best first.
     """
 
-    def __init__(self, key: str, first_addresses: list[str]) -> None:
+    def __init__(self, key: str, seed_addresses: list[str]) -> None:
         self.key = key
-        self.first_addresses = first_addresses
-        self.addresses = list(first_addresses)
-        self._hold_until = 0.0
+        self.seed_addresses = seed_addresses
+        self.addresses = list(seed_addresses)
+        self._entries_expire_at = 0.0
         self._client: httpclient.AsyncHTTPClient | None = None
 
     async def start(self) -> None:
@@ -134,9 +134,9 @@
 
     async def entries(self) -> list[str]:
         """Returns the addresses, refreshed when the cached ones expired."""
-        if time.monotonic() < self._hold_until:
+        if time.monotonic() < self._entries_expire_at:
             return self.addresses
-        for address in [*self.addresses, *self.first_addresses]:
+        for address in [*self.addresses, *self.seed_addresses]:
             response = await self._fetch(
                 address, "/v1/entries", "GET", None, {}, 2.0
             )
@@ -147,13 +147,13 @@
             if found:
                 self.addresses = found
                 hold = float(answer["hold_seconds"])
-                self._hold_until = time.monotonic() + hold
+                self._entries_expire_at = time.monotonic() + hold
                 break
         return self.addresses
 
     def forget_entries(self) -> None:
         """Expires the cached addresses."""
-        self._hold_until = 0.0
+        self._entries_expire_at = 0.0
 
     async def complete(
         self,
@@ -185,13 +185,13 @@
             "POST",
             json.dumps(body).encode(),
             headers,
-            deadline_ms / 1000 + SPARE_S,
+            deadline_ms / 1000 + DEADLINE_MARGIN_S,
             reader.feed if reader else None,
         )
         answer.seconds = time.monotonic() - started
         answer.status = response.code
         answer.unreachable = response.unreachable
-        self._take_response(answer, response, reader)
+        self._read_response(answer, response, reader)
         return answer
 
     async def call(
@@ -219,12 +219,12 @@
             method,
             None if method == "GET" else body,
             headers,
-            deadline_ms / 1000 + SPARE_S,
+            deadline_ms / 1000 + DEADLINE_MARGIN_S,
         )
         answer = CallerAnswer(status=response.code)
         answer.seconds = time.monotonic() - started
         answer.text = response.body.decode(errors="replace")
-        answer.whole = response.code != NO_ANSWER
+        answer.whole = response.code != NO_RESPONSE_STATUS
         answer.unreachable = response.unreachable
         answer.problem = _problem(response)
         return answer
@@ -237,17 +237,17 @@
             headers["Idempotency-Key"] = idempotency_key
         return headers
 
-    def _take_response(
+    def _read_response(
         self,
         answer: CallerAnswer,
-        response: _Reply,
+        response: _Response,
         reader: _EventReader | None,
     ) -> None:
         answer.problem = answer.problem or _problem(response)
         if response.code != 200:
             answer.whole = False
         elif reader is None:
-            _take_whole(answer, response.body)
+            _read_completion(answer, response.body)
 
     async def _fetch(
         self,
@@ -258,7 +258,7 @@
         headers: dict[str, str],
         timeout_s: float,
         on_chunk: Callable[[bytes], None] | None = None,
-    ) -> _Reply:
+    ) -> _Response:
         assert self._client is not None, "start the caller first"
         buffered: list[bytes] = []
         request = httpclient.HTTPRequest(
@@ -275,9 +275,11 @@
             response = await self._client.fetch(request, raise_error=False)
         except httpclient.HTTPError as error:
             got = b"".join(buffered)
-            return _Reply(NO_ANSWER, "", got, _is_unreachable(error))
+            return _Response(
+                NO_RESPONSE_STATUS, "", got, _is_unreachable(error)
+            )
         kind = response.headers.get("Content-Type", "")
-        return _Reply(response.code, kind, b"".join(buffered))
+        return _Response(response.code, kind, b"".join(buffered))
 
 
 def _tee(
@@ -297,14 +299,14 @@
     return bool(error.errno == pycurl.E_COULDNT_CONNECT)
 
 
-def _problem(response: _Reply) -> dict[str, Any] | None:
+def _problem(response: _Response) -> dict[str, Any] | None:
     if "problem+json" not in response.content_type:
         return None
     found: dict[str, Any] = json.loads(response.body)
     return found
 
 
-def _take_whole(answer: CallerAnswer, body: bytes) -> None:
+def _read_completion(answer: CallerAnswer, body: bytes) -> None:
     content = json.loads(body)
     choice = content["choices"][0]
     answer.text = choice["text"]
@@ -314,11 +316,11 @@
     answer.whole = count == len(answer.tokens)
 
 
-def create_caller(key: str, first_addresses: list[str]) -> Caller:
+def create_caller(key: str, seed_addresses: list[str]) -> Caller:
     """Builds a caller; not started yet.
 
     Args:
         key: Bearer key of a client account.
-        first_addresses: ``host:port`` of some nodes, for the first lookup.
+        seed_addresses: ``host:port`` of some nodes, for the first lookup.
     """
-    return Caller(key, first_addresses)
+    return Caller(key, seed_addresses)
--- a/src/almondshift/adapters/http_channels.py
+++ b/src/almondshift/adapters/http_channels.py
@@ -149,11 +149,11 @@
         self.calls = 0
         self.idle_until = 0.0
         self.head: AnswerHead | None = None
-        self.head_done = False
+        self.head_complete = False
         self.head_bytes = 0
         self.complete = False
         self.framed = False
-        self.may_keep = False
+        self.keep_alive = False
         self.parser: httptools.HttpResponseParser | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -169,11 +169,11 @@
         call.reused = self.calls > 0
         self.calls += 1
         self.head = None
-        self.head_done = False
+        self.head_complete = False
         self.head_bytes = 0
         self.complete = False
         self.framed = False
-        self.may_keep = False
+        self.keep_alive = False
         self.parser = httptools.HttpResponseParser(self)
         call.sent = True
         self.transport.write(call.payload)
@@ -197,20 +197,20 @@
         except httptools.HttpParserError as error:
             if self.complete and self.call is call:
                 # Bytes after the complete response belong to no call.
-                self.finish(may_keep=False)
+                self.finish(keep_alive=False)
             else:
                 self.fail(Outcome.SPOILT, f"invalid response: {error}")
             return
         if self.complete and self.call is call:
             self.finish()
-        elif not self.head_done:
+        elif not self.head_complete:
             self.head_bytes += len(data)
             if self.head_bytes > MAX_HEAD_BYTES:
                 self.fail(Outcome.SPOILT, "response head over the limit")
 
     def eof_received(self) -> bool:
         """Ends a response whose body is delimited by the end of stream."""
-        if self.call is not None and self.head_done and not self.framed:
+        if self.call is not None and self.head_complete and not self.framed:
             call = self.call
             self.drop()
             call.end(Outcome.WHOLE, "")
@@ -220,7 +220,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Fails the open call, if any: its response is incomplete."""
-        self.pool.forget(self)
+        self.pool.remove(self)
         self.fail(Outcome.BROKEN, f"connection lost: {exc or 'closed'}")
 
     def fail(self, outcome: Outcome, reason: str) -> None:
@@ -230,14 +230,14 @@
         if call is not None:
             call.end(outcome, reason)
 
-    def finish(self, may_keep: bool = True) -> None:
+    def finish(self, keep_alive: bool = True) -> None:
         """Completes the call, and pools the connection if it is reusable."""
         call = self.call
         assert call is not None and self.parser is not None
-        keep = may_keep and self.may_keep
+        keep = keep_alive and self.keep_alive
         self.call = None
         if keep:
-            self.pool.keep(self, idle_seconds(self.head))
+            self.pool.release(self, idle_seconds(self.head))
         elif self.transport is not None:
             self.transport.abort()
         call.end(Outcome.WHOLE, "")
@@ -268,7 +268,7 @@
             # This is a late or duplicate response to an earlier call; the
             # caller would receive the bytes of another call.
             raise httptools.HttpParserCallbackError("response to another call")
-        self.head_done = True
+        self.head_complete = True
         self.framed = (
             head.get("content-length") is not None
             or head.get("transfer-encoding") is not None
@@ -290,10 +290,10 @@
         if self.head is not None and self.head.status < 200:
             self.head = None
             return
-        self.complete = self.head_done
+        self.complete = self.head_complete
         # The parser resets this once the message is complete.
         assert self.parser is not None
-        self.may_keep = self.parser.should_keep_alive()
+        self.keep_alive = self.parser.should_keep_alive()
 
 
 class ChannelPool:
@@ -324,7 +324,7 @@
             request_id: Id that the response must echo; empty for no check.
         """
         call = Call(listener, payload, request_id)
-        connection = self.take(address)
+        connection = self.acquire(address)
         if connection is not None:
             connection.send(call)
             return call
@@ -333,7 +333,7 @@
         )
         return call
 
-    def take(self, address: str) -> Connection | None:
+    def acquire(self, address: str) -> Connection | None:
         """Takes the newest idle connection that is not about to expire."""
         kept = self.idle.get(address)
         now = asyncio.get_running_loop().time()
@@ -349,7 +349,7 @@
             connection.drop()
         return None
 
-    def keep(self, connection: Connection, idle_s: float) -> None:
+    def release(self, connection: Connection, idle_s: float) -> None:
         """Returns a connection to the pool for the next call."""
         now = asyncio.get_running_loop().time()
         connection.idle_until = now + idle_s
@@ -358,7 +358,7 @@
             kept.pop(0).drop()
         kept.append(connection)
 
-    def forget(self, connection: Connection) -> None:
+    def remove(self, connection: Connection) -> None:
         """Removes a connection that was closed while it was idle."""
         kept = self.idle.get(connection.address)
         if kept and connection in kept:
--- a/src/almondshift/adapters/http_engine.py
+++ b/src/almondshift/adapters/http_engine.py
@@ -44,7 +44,7 @@
         self.name = name
         self.root = f"http://{address}"
         self.client = client
-        self.waiting: set[asyncio.Future[curl_calls.CallResult]] = set()
+        self.in_flight: set[asyncio.Future[curl_calls.CallResult]] = set()
 
     async def start(self) -> None:
         """Starts the shared HTTP client."""
@@ -52,7 +52,7 @@
 
     async def close(self) -> None:
         """Fails the calls in flight with an unknown outcome."""
-        curl_calls.fail_waiting(self.waiting)
+        curl_calls.fail_in_flight(self.in_flight)
 
     async def describe(
         self,
@@ -155,33 +155,33 @@
     async def _ask(
         self, call: curl_calls.Call, decode: Callable[[bytes], Answer]
     ) -> expression.Result[Answer, engines.EngineError]:
-        sent = await self.client.send(call, self.waiting)
-        if sent.is_error():
-            return expression.Error(sent.error)
-        return self._read(sent.ok, decode)
+        result = await self.client.send(call, self.in_flight)
+        if result.is_error():
+            return expression.Error(result.error)
+        return self._read_response(result.ok, decode)
 
-    def _read(
-        self, reply: curl_calls.Reply, decode: Callable[[bytes], Answer]
+    def _read_response(
+        self, response: curl_calls.Response, decode: Callable[[bytes], Answer]
     ) -> expression.Result[Answer, engines.EngineError]:
-        if is_refusal(reply):
-            detail = f"{self.name} refused with status {reply.status}."
+        if is_refusal(response):
+            detail = f"{self.name} refused with status {response.status}."
             return expression.Error(errors.EndpointRefused(detail))
-        if reply.status != OK:
-            detail = f"{self.name} failed with status {reply.status}."
+        if response.status != OK:
+            detail = f"{self.name} failed with status {response.status}."
             return expression.Error(errors.EndpointOutcomeUnknown(detail))
         try:
-            return expression.Ok(decode(reply.body))
+            return expression.Ok(decode(response.body))
         except msgspec.DecodeError as error:
             detail = f"{self.name} returned an invalid response: {error}."
             return expression.Error(errors.EndpointOutcomeUnknown(detail))
 
 
-def is_refusal(reply: curl_calls.Reply) -> bool:
+def is_refusal(response: curl_calls.Response) -> bool:
     """Returns whether the endpoint reports that it ran nothing."""
-    if reply.status in NOT_RUN_STATUSES:
+    if response.status in NOT_RUN_STATUSES:
         return True
-    is_marked = engine_messages.NOT_RUN_HEADER in reply.headers
-    return reply.status != OK and is_marked
+    is_marked = engine_messages.NOT_RUN_HEADER in response.headers
+    return response.status != OK and is_marked
 
 
 def decode_nothing(_: bytes) -> None:
--- a/src/almondshift/adapters/http_front/base.py
+++ b/src/almondshift/adapters/http_front/base.py
@@ -24,10 +24,10 @@
     from almondshift.model import fleet
     from almondshift.ports import gateway
 
-DEFAULT_BODY_LIMIT = 1_000_000
+DEFAULT_BODY_LIMIT_BYTES = 1_000_000
 DEFAULT_DEADLINE_MS = 60_000
 MAX_DEADLINE_MS = 3_600_000
-DISCARD_BYTES = 8_000_000
+MAX_DISCARDED_BYTES = 8_000_000
 """Bytes over the limit that are still read and discarded: closing a connection
 with unread bytes resets it, and the caller would lose the error response.
 Beyond this limit the connection is closed anyway."""
@@ -113,7 +113,7 @@
     def write_problem(self, error: BaseException) -> None:
         """Responds with a problem, discarding any prepared response."""
         if self.record is not None:
-            self.record.failed(_typed(error))
+            self.record.failed(_to_typed_error(error))
         problem = problems.render(error, self.request_id)
         self.clear()
         self.set_status(problem.status)
@@ -125,9 +125,9 @@
         """Renders an exception of a handler."""
         error = kwargs["exc_info"][1] if "exc_info" in kwargs else None
         if isinstance(error, tornado.web.HTTPError):
-            error = _from_http(status_code)
+            error = _error_for_status(status_code)
         if error is None:
-            error = _from_http(status_code)
+            error = _error_for_status(status_code)
         if self._headers_written:
             self.finish()
             return
@@ -154,7 +154,7 @@
     """
 
     work: asyncio.Future[None] | None = None
-    cut_error: errors.NodeLeaving | None = None
+    leaving_error: errors.NodeLeaving | None = None
 
     def prepare(self) -> Awaitable[None] | None:
         """Rejects a body whose Content-Length is over the limit.
@@ -166,21 +166,28 @@
         self.chunks: list[bytes] = []
         self.received = 0
         found = self.node.current_fleet()
-        self.limit = found.body_limit_bytes if found else DEFAULT_BODY_LIMIT
-        waits = "Expect" in self.request.headers
-        allowed = self.limit if waits else self.limit + DISCARD_BYTES
-        if self._announced() > allowed:
+        self.limit = (
+            found.body_limit_bytes if found else DEFAULT_BODY_LIMIT_BYTES
+        )
+        expects_continue = "Expect" in self.request.headers
+        allowed = (
+            self.limit if expects_continue else self.limit + MAX_DISCARDED_BYTES
+        )
+        if self._content_length() > allowed:
             raise self._too_large()
         return None
 
-    def _announced(self) -> int:
+    def _content_length(self) -> int:
         length = self.request.headers.get("Content-Length", "0")
         return int(length) if length.isascii() and length.isdigit() else 0
 
     def data_received(self, chunk: bytes) -> Awaitable[None] | None:
         """Stores a part of the body, up to the limit."""
         self.received += len(chunk)
-        if self.received > self.limit + DISCARD_BYTES and not self._finished:
+        if (
+            self.received > self.limit + MAX_DISCARDED_BYTES
+            and not self._finished
+        ):
             self.write_problem(self._too_large())
             return None
         if self.received <= self.limit:
@@ -188,14 +195,14 @@
         return None
 
     async def run_admitted(
-        self, wanted: gateway.Admission, work: Callable[[], Awaitable[None]]
+        self, admission: gateway.Admission, work: Callable[[], Awaitable[None]]
     ) -> None:
         """Runs a request's work, unless the node is draining.
 
         The work is cancelled when the caller disconnects, or when the node
         closes before the request has ended.
         """
-        match self.node.begin(wanted, self._cut):
+        match self.node.begin(admission, self._cancel_for_leaving):
             case expression.Result(tag="ok"):
                 pass
             case expression.Result(error=error):
@@ -215,8 +222,8 @@
 
     def end_early(self) -> None:
         """Sends the final error, or records that the caller disconnected."""
-        if self.cut_error is not None:
-            self.write_final(self.cut_error)
+        if self.leaving_error is not None:
+            self.write_final(self.leaving_error)
         elif self.record is not None:
             self.record.abandoned()
 
@@ -224,8 +231,8 @@
         """Responds with an error; overridden for streams."""
         self.write_problem(error)
 
-    def _cut(self, error: errors.NodeLeaving) -> None:
-        self.cut_error = error
+    def _cancel_for_leaving(self, error: errors.NodeLeaving) -> None:
+        self.leaving_error = error
         if self.work is not None:
             self.work.cancel()
 
@@ -249,13 +256,13 @@
         raise tornado.web.HTTPError(404)
 
 
-def _typed(error: BaseException) -> errors.AlmondshiftError:
+def _to_typed_error(error: BaseException) -> errors.AlmondshiftError:
     if isinstance(error, errors.AlmondshiftError):
         return error
-    return _from_http(INTERNAL)
+    return _error_for_status(INTERNAL)
 
 
-def _from_http(status: int) -> errors.AlmondshiftError:
+def _error_for_status(status: int) -> errors.AlmondshiftError:
     if status >= INTERNAL:
         return errors.AlmondshiftError(
             "The node failed while it handled the request.",
--- a/src/almondshift/adapters/http_front/completions.py
+++ b/src/almondshift/adapters/http_front/completions.py
@@ -25,7 +25,7 @@
 
 DONE = b"data: [DONE]\n\n"
 
-LATE_RETRY_S = 1.0
+RETRY_AFTER_DEADLINE_S = 1.0
 """Seconds after which the result of work still running may be requested."""
 
 
@@ -37,13 +37,13 @@
     async def post(self) -> None:
         """Responds with JSON, or with server-sent events if streaming."""
         request = self._request()
-        wanted = gateway.Admission(
+        admission = gateway.Admission(
             request.request_id,
             request.service,
             request.max_tokens,
             request.deadline,
         )
-        await self.run_admitted(wanted, lambda: self._serve_in_time(request))
+        await self.run_admitted(admission, lambda: self._serve_in_time(request))
 
     async def _serve_in_time(
         self, request: completions.CompletionRequest
@@ -58,27 +58,27 @@
             async with asyncio.timeout(left):
                 await self._serve(request)
         except TimeoutError:
-            self._end_late(request)
+            self._end_at_deadline(request)
 
-    def _end_late(self, request: completions.CompletionRequest) -> None:
+    def _end_at_deadline(self, request: completions.CompletionRequest) -> None:
         """Sends the error response at the deadline.
 
         If the reader has not accepted all bytes, the connection is closed:
         the stream then has no end, so it can't be mistaken for a complete one.
         """
-        error = _late(request, self.stream)
+        error = _deadline_error(request, self.stream)
         if self.stream is not None:
             self.stream.close()
         if not self._headers_written:
             raise error
-        if self._unsent():
+        if self._has_unsent_bytes():
             if self.record is not None:
                 self.record.failed(error)
             self._drop_connection()
             return
         self._write_error_event(error)
 
-    def _unsent(self) -> bool:
+    def _has_unsent_bytes(self) -> bool:
         stream = getattr(self.request.connection, "stream", None)
         return stream is not None and stream.writing()
 
@@ -175,7 +175,7 @@
         stream: gateway.CompletionStream,
     ) -> None:
         async with contextlib.aclosing(stream.tokens()) as source:
-            tokens = [self._recorded(token) async for token in source]
+            tokens = [self._record_token(token) async for token in source]
         self._record_end(stream)
         answer = self._chunk(request, tuple(tokens), "length")
         answer["usage"] = _usage(request, len(tokens))
@@ -194,7 +194,7 @@
                     if count == 0:
                         self._begin_events()
                     count += 1
-                    self._recorded(token)
+                    self._record_token(token)
                     event = self._chunk(request, (token,), None)
                     await self._send(request, event)
         except errors.AlmondshiftError as error:
@@ -209,7 +209,7 @@
         await self._send(request, last)
         await self.finish(DONE)
 
-    def _recorded(self, token: int) -> int:
+    def _record_token(self, token: int) -> int:
         if self.record is not None:
             self.record.token()
         return token
@@ -273,7 +273,7 @@
         }
 
 
-def _late(
+def _deadline_error(
     request: completions.CompletionRequest,
     stream: gateway.CompletionStream | None,
 ) -> errors.AlmondshiftError:
@@ -292,7 +292,7 @@
     return errors.OutcomeUnknown(
         "The deadline passed; the request may be running.",
         remedy="Retry with the same Idempotency-Key.",
-        retry_after_s=LATE_RETRY_S,
+        retry_after_s=RETRY_AFTER_DEADLINE_S,
     )
 
 
--- a/src/almondshift/adapters/http_front/plain.py
+++ b/src/almondshift/adapters/http_front/plain.py
@@ -15,26 +15,26 @@
 
     async def get(self, name: str, path: str) -> None:
         """Forwards a GET."""
-        await self._pass_on(name, path)
+        await self._forward(name, path)
 
     async def post(self, name: str, path: str) -> None:
         """Forwards a POST."""
-        await self._pass_on(name, path)
+        await self._forward(name, path)
 
     async def put(self, name: str, path: str) -> None:
         """Forwards a PUT."""
-        await self._pass_on(name, path)
+        await self._forward(name, path)
 
     async def delete(self, name: str, path: str) -> None:
         """Forwards a DELETE."""
-        await self._pass_on(name, path)
+        await self._forward(name, path)
 
-    async def _pass_on(self, name: str, path: str) -> None:
+    async def _forward(self, name: str, path: str) -> None:
         request = self._request(name, path)
-        wanted = gateway.Admission(
+        admission = gateway.Admission(
             request.request_id, request.service, 0, request.deadline
         )
-        await self.run_admitted(wanted, lambda: self._call(request))
+        await self.run_admitted(admission, lambda: self._call(request))
 
     async def _call(self, request: gateway.PlainRequest) -> None:
         match await self.node.call_plain(request):
--- a/src/almondshift/adapters/http_front/server.py
+++ b/src/almondshift/adapters/http_front/server.py
@@ -23,11 +23,11 @@
     from almondshift.ports import clocks
     from almondshift.ports import gateway
 
-SERVER_BODY_LIMIT = 1 << 40
+SERVER_BODY_LIMIT_BYTES = 1 << 40
 """Practically unlimited; the handlers enforce the configured limit and report
 a useful error."""
 
-IDLE_S = 3600.0
+IDLE_TIMEOUT_S = 3600.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -49,8 +49,8 @@
         sockets = tornado.netutil.bind_sockets(self.port, self.host)
         self._server = tornado.httpserver.HTTPServer(
             self.application,
-            max_body_size=SERVER_BODY_LIMIT,
-            idle_connection_timeout=IDLE_S,
+            max_body_size=SERVER_BODY_LIMIT_BYTES,
+            idle_connection_timeout=IDLE_TIMEOUT_S,
         )
         self._server.add_sockets(sockets)
         self.address = f"{self.host}:{sockets[0].getsockname()[1]}"
--- a/src/almondshift/adapters/http_listener.py
+++ b/src/almondshift/adapters/http_listener.py
@@ -17,11 +17,11 @@
 """Idle connections stay open a quarter longer than the timeout that callers
 rely on, so that no caller sends on one while it is being closed here."""
 
-LARGEST_BODY_BYTES = 64_000_000
+MAX_BODY_BYTES = 64_000_000
 """Applies to requests whose delegate sets no lower limit."""
 
-SHORT_IDLE_S = 30.0
-SHORT_HEADER_BYTES = 16_384
+SHORT_IDLE_TIMEOUT_S = 30.0
+MAX_SHORT_HEADER_BYTES = 16_384
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -53,7 +53,7 @@
             delegate,
             idle_connection_timeout=idle_s * IDLE_FACTOR,
             max_header_size=header_bytes,
-            max_body_size=LARGEST_BODY_BYTES,
+            max_body_size=MAX_BODY_BYTES,
         )
 
     async def start(self) -> None:
@@ -138,7 +138,9 @@
         answer: Returns the response for a target (path and query).
     """
     delegate = ShortDelegate(answer)
-    return Listener(address, delegate, SHORT_IDLE_S, SHORT_HEADER_BYTES)
+    return Listener(
+        address, delegate, SHORT_IDLE_TIMEOUT_S, MAX_SHORT_HEADER_BYTES
+    )
 
 
 def reason_of(status: int) -> str:
--- a/src/almondshift/adapters/http_operations.py
+++ b/src/almondshift/adapters/http_operations.py
@@ -78,7 +78,7 @@
     def write_error(self, status_code: int, **kwargs: Any) -> None:
         """Renders an exception of a handler, without a traceback."""
         raised = kwargs.get("exc_info", (None, None, None))[1]
-        error = self._typed(status_code, raised)
+        error = self._to_typed_error(status_code, raised)
         problem = problems.render(error, self.request_id)
         self.set_status(problem.status)
         for name, value in problem.headers.items():
@@ -93,13 +93,13 @@
         fault = log_events.RequestFault(self.request_id, repr(value))
         log_events.emit(logger, fault)
 
-    def answer(self, value: Any) -> None:
+    def send_json(self, value: Any) -> None:
         """Sends a JSON value."""
         self.set_header("Content-Type", "application/json")
         self.set_header("Cache-Control", "no-store")
         self.finish(json.dumps(value))
 
-    def whole_number(self, name: str) -> int | None:
+    def integer_argument(self, name: str) -> int | None:
         """Returns a query argument, or None if it was not sent."""
         written = self.get_query_argument(name, None)
         if written is None:
@@ -110,7 +110,7 @@
             )
         return int(written)
 
-    def _typed(
+    def _to_typed_error(
         self, status_code: int, raised: BaseException | None
     ) -> BaseException:
         if isinstance(raised, tornado.web.HTTPError):
@@ -126,9 +126,9 @@
 
     async def get(self) -> None:
         """Sends the requested version, or the one active on this node."""
-        version = self.whole_number("version")
+        version = self.integer_argument("version")
         shown = await self.calls.show_config(version)
-        self.answer(dataclasses.asdict(_value(shown)))
+        self.send_json(dataclasses.asdict(_unwrap(shown)))
 
     async def post(self) -> None:
         """Proposes a configuration text."""
@@ -136,7 +136,7 @@
         applied = await self.calls.apply_config(
             body.text, body.base, body.change_id, body.author
         )
-        self.answer(dataclasses.asdict(_value(applied)))
+        self.send_json(dataclasses.asdict(_unwrap(applied)))
 
 
 class HistoryHandler(OperatorHandler):
@@ -144,10 +144,10 @@
 
     async def get(self) -> None:
         """Sends accepted versions, newest first."""
-        limit = self.whole_number("limit") or DEFAULT_LIMIT
+        limit = self.integer_argument("limit") or DEFAULT_LIMIT
         found = await self.calls.config_history(min(limit, MAX_LIMIT))
-        versions = [dataclasses.asdict(v) for v in _value(found)]
-        self.answer({"versions": versions})
+        versions = [dataclasses.asdict(v) for v in _unwrap(found)]
+        self.send_json({"versions": versions})
 
 
 class StatusHandler(OperatorHandler):
@@ -155,7 +155,7 @@
 
     def get(self) -> None:
         """Sends this node's state."""
-        self.answer(self.calls.status())
+        self.send_json(self.calls.status())
 
 
 class BurnHandler(OperatorHandler):
@@ -163,19 +163,19 @@
 
     def get(self) -> None:
         """Sends this node's counts of met and missed objectives."""
-        self.answer(self.calls.objective_counts())
+        self.send_json(self.calls.objective_counts())
 
 
 def create_routes(
     operations: operations.Operations, secret: keys.Secret
 ) -> list[Any]:
     """Returns routes for a ``tornado.web.Application``."""
-    given = {"operations": operations, "secret": secret}
+    handler_args = {"operations": operations, "secret": secret}
     return [
-        (r"/v1/admin/config", ConfigHandler, given),
-        (r"/v1/admin/config/history", HistoryHandler, given),
-        (r"/v1/admin/status", StatusHandler, given),
-        (r"/v1/admin/burn", BurnHandler, given),
+        (r"/v1/admin/config", ConfigHandler, handler_args),
+        (r"/v1/admin/config/history", HistoryHandler, handler_args),
+        (r"/v1/admin/status", StatusHandler, handler_args),
+        (r"/v1/admin/burn", BurnHandler, handler_args),
     ]
 
 
@@ -197,7 +197,7 @@
         raise errors.MalformedRequest(f"{place}: {fault['msg']}.") from error
 
 
-def _value(result: Any) -> Any:
+def _unwrap(result: Any) -> Any:
     if result.is_ok():
         return result.ok
     raise result.error
--- a/src/almondshift/adapters/http_operations_client.py
+++ b/src/almondshift/adapters/http_operations_client.py
@@ -25,7 +25,7 @@
 CONNECT_TIMEOUT_S = 2.0
 READ_TIMEOUT_S = 10.0
 MAX_CLIENTS = 64
-MAX_ANSWER_BYTES = 64_000_000
+MAX_RESPONSE_BYTES = 64_000_000
 OK = 200
 
 _VERSION = pydantic.TypeAdapter(operations.ConfigVersion)
@@ -88,7 +88,7 @@
         self.http = tornado.simple_httpclient.SimpleAsyncHTTPClient(
             force_instance=True,
             max_clients=MAX_CLIENTS,
-            max_buffer_size=MAX_ANSWER_BYTES,
+            max_buffer_size=MAX_RESPONSE_BYTES,
         )
 
     def close(self) -> None:
@@ -106,7 +106,7 @@
             "author": author,
         }
         answer = await self._call(node, "POST", "/v1/admin/config", body)
-        return answer.bind(_reader(_VERSION.validate_python))
+        return answer.bind(_validate_with(_VERSION.validate_python))
 
     async def show(
         self, node: str, version: int | None
@@ -116,7 +116,7 @@
         if version is not None:
             path += "?" + urllib.parse.urlencode({"version": version})
         answer = await self._call(node, "GET", path)
-        return answer.bind(_reader(_VERSION.validate_python))
+        return answer.bind(_validate_with(_VERSION.validate_python))
 
     async def history(
         self, node: str, limit: int
@@ -127,7 +127,7 @@
         path = f"/v1/admin/config/history?limit={limit}"
         answer = await self._call(node, "GET", path)
         return answer.bind(
-            _reader(lambda v: _VERSIONS.validate_python(v["versions"]))
+            _validate_with(lambda v: _VERSIONS.validate_python(v["versions"]))
         )
 
     async def status(
@@ -141,7 +141,7 @@
     ) -> expression.Result[burn.Snapshot, errors.AlmondshiftError]:
         """Returns the node's counts of met and missed objectives."""
         answer = await self._call(node, "GET", "/v1/admin/burn")
-        return answer.bind(_reader(_SNAPSHOT.validate_python))
+        return answer.bind(_validate_with(_SNAPSHOT.validate_python))
 
     async def _call(
         self,
@@ -150,15 +150,15 @@
         path: str,
         body: dict[str, Any] | None = None,
     ) -> expression.Result[dict[str, Any], errors.AlmondshiftError]:
-        unreachable = await _try_connecting(node)
+        unreachable = await _check_reachable(node)
         if unreachable is not None:
             return expression.Error(unreachable)
         try:
             request = self._request(node, method, path, body)
             answer = await self.http.fetch(request, raise_error=False)
         except (OSError, tornado.httpclient.HTTPError) as error:
-            return expression.Error(_no_answer(node, method, error))
-        return _read_answer(node, method, answer)
+            return expression.Error(_no_response_error(node, method, error))
+        return _read_response(node, method, answer)
 
     def _request(
         self, node: str, method: str, path: str, body: dict[str, Any] | None
@@ -182,7 +182,7 @@
     return NodeClient(secret)
 
 
-async def _try_connecting(node: str) -> NodeUnreachable | None:
+async def _check_reachable(node: str) -> NodeUnreachable | None:
     """Detects an unreachable node before anything is sent to it.
 
     tornado's client raises the same error for a failed connection attempt and
@@ -202,7 +202,7 @@
     return None
 
 
-def _no_answer(
+def _no_response_error(
     node: str, method: str, error: BaseException
 ) -> errors.AlmondshiftError:
     detail = f"Node {node} returned no complete response: {error}."
@@ -211,22 +211,22 @@
     return NodeOutcomeUnknown(detail)
 
 
-def _read_answer(
+def _read_response(
     node: str, method: str, answer: tornado.httpclient.HTTPResponse
 ) -> expression.Result[dict[str, Any], errors.AlmondshiftError]:
     try:
         value = json.loads(answer.body)
     except ValueError as error:
-        return expression.Error(_no_answer(node, method, error))
+        return expression.Error(_no_response_error(node, method, error))
     if not isinstance(value, dict):
         fault = ValueError("the response is not a JSON object")
-        return expression.Error(_no_answer(node, method, fault))
+        return expression.Error(_no_response_error(node, method, fault))
     if answer.code != OK:
-        return expression.Error(_reported(value))
+        return expression.Error(_node_error(value))
     return expression.Ok(value)
 
 
-def _reported(value: dict[str, Any]) -> NodeError:
+def _node_error(value: dict[str, Any]) -> NodeError:
     execution = value.get("execution")
     known = set(errors.Execution)
     retry_after_s = value.get("retry_after_s")
@@ -243,8 +243,8 @@
     )
 
 
-def _reader(read: Callable[[Any], Any]) -> Callable[[Any], Any]:
-    def reading(value: Any) -> Any:
+def _validate_with(read: Callable[[Any], Any]) -> Callable[[Any], Any]:
+    def validate(value: Any) -> Any:
         try:
             return expression.Ok(read(value))
         except (pydantic.ValidationError, KeyError) as error:
@@ -255,4 +255,4 @@
                 )
             )
 
-    return reading
+    return validate
--- a/src/almondshift/adapters/http_plain_service.py
+++ b/src/almondshift/adapters/http_plain_service.py
@@ -24,7 +24,7 @@
 
     def __init__(self, client: curl_calls.CurlClient) -> None:
         self.client = client
-        self.waiting: set[asyncio.Future[curl_calls.CallResult]] = set()
+        self.in_flight: set[asyncio.Future[curl_calls.CallResult]] = set()
 
     async def start(self) -> None:
         """Starts the HTTP client."""
@@ -40,10 +40,12 @@
         plain_services.PlainAnswer, plain_services.PlainError
     ]:
         """Sends one call, once; never retries or follows redirects."""
-        sent = await self.client.send(build_call(address, call), self.waiting)
-        if sent.is_error():
-            return expression.Error(sent.error)
-        return read_reply(address, sent.ok)
+        result = await self.client.send(
+            build_call(address, call), self.in_flight
+        )
+        if result.is_error():
+            return expression.Error(result.error)
+        return read_response(address, result.ok)
 
 
 def build_call(address: str, call: plain_services.PlainCall) -> curl_calls.Call:
@@ -67,16 +69,16 @@
     )
 
 
-def read_reply(
-    address: str, reply: curl_calls.Reply
+def read_response(
+    address: str, response: curl_calls.Response
 ) -> expression.Result[plain_services.PlainAnswer, plain_services.PlainError]:
     """Distinguishes a service's response from a refusal to run the call."""
-    if reply.status == UNAVAILABLE and NOT_RUN_HEADER in reply.headers:
+    if response.status == UNAVAILABLE and NOT_RUN_HEADER in response.headers:
         detail = f"{address} refused before running the call."
         return expression.Error(errors.EndpointRefused(detail))
-    content_type = reply.headers.get("Content-Type", DEFAULT_CONTENT_TYPE)
+    content_type = response.headers.get("Content-Type", DEFAULT_CONTENT_TYPE)
     return expression.Ok(
-        plain_services.PlainAnswer(reply.status, content_type, reply.body)
+        plain_services.PlainAnswer(response.status, content_type, response.body)
     )
 
 
--- a/src/almondshift/adapters/ini_sections.py
+++ b/src/almondshift/adapters/ini_sections.py
@@ -26,8 +26,8 @@
 
 BYTE_ORDER_MARK = "\ufeff"
 WHOLE_LINE_HEADER = re.compile(r"\[(?P<header>.+)\]$")
-SHOWN_CHARACTERS = 60
-CUTOFF = 0.5
+MAX_SHOWN_CHARACTERS = 60
+SUGGESTION_CUTOFF = 0.5
 MAX_NAME_LENGTH = 63
 NAME_PATTERN = r"^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$"
 
@@ -60,7 +60,7 @@
 YesNo = Annotated[bool, pydantic.BeforeValidator(_yes_or_no)]
 Name = Annotated[str, pydantic.StringConstraints(pattern=NAME_PATTERN)]
 Names = Annotated[tuple[Name, ...], pydantic.BeforeValidator(_comma_list)]
-Texts = Annotated[tuple[str, ...], pydantic.BeforeValidator(_comma_list)]
+Strings = Annotated[tuple[str, ...], pydantic.BeforeValidator(_comma_list)]
 PositiveInt = Annotated[int, pydantic.Field(ge=1, le=10**15)]
 NonNegative = Annotated[
     float, pydantic.Field(ge=0, le=1e15, allow_inf_nan=False)
@@ -91,9 +91,11 @@
         return " ".join((self.kind, *self.arguments))
 
 
-def nearest(word: str, known: list[str]) -> str:
+def suggest(word: str, known: list[str]) -> str:
     """Returns a suggestion ``Did you mean ...``, or the known words."""
-    close = difflib.get_close_matches(word[:64], known, n=1, cutoff=CUTOFF)
+    close = difflib.get_close_matches(
+        word[:64], known, n=1, cutoff=SUGGESTION_CUTOFF
+    )
     if close:
         return f"Did you mean '{close[0]}'?"
     if not known:
@@ -109,8 +111,8 @@
 def shorten(value: object) -> str:
     """Returns a printable form of a value, truncated at 60 characters."""
     text = str(value)
-    cut = text[:SHOWN_CHARACTERS]
-    return repr(cut) + ("..." if len(text) > SHOWN_CHARACTERS else "")
+    cut = text[:MAX_SHOWN_CHARACTERS]
+    return repr(cut) + ("..." if len(text) > MAX_SHOWN_CHARACTERS else "")
 
 
 def read(text: str) -> list[Section]:
@@ -137,7 +139,7 @@
     except configparser.Error as error:
         raise _syntax_error(error) from error
     sections = [_section(title, parser) for title in parser.sections()]
-    _refuse_twice(sections)
+    _check_duplicates(sections)
     return sections
 
 
@@ -184,15 +186,15 @@
     return Section(words[0], tuple(words[1:]), dict(parser.items(title)))
 
 
-def _refuse_twice(sections: list[Section]) -> None:
+def _check_duplicates(sections: list[Section]) -> None:
     seen: set[str] = set()
     for section in sections:
         if section.title in seen:
-            raise _twice(section.title, None)
+            raise _duplicate_error(section.title, None)
         seen.add(section.title)
 
 
-def _twice(section: str, key: str | None) -> errors.ConfigInvalid:
+def _duplicate_error(section: str, key: str | None) -> errors.ConfigInvalid:
     return errors.ConfigInvalid(
         "is defined twice.",
         section=section,
@@ -203,9 +205,9 @@
 
 def _syntax_error(error: configparser.Error) -> errors.ConfigInvalid:
     if isinstance(error, configparser.DuplicateSectionError):
-        return _twice(" ".join(error.section.split()), None)
+        return _duplicate_error(" ".join(error.section.split()), None)
     if isinstance(error, configparser.DuplicateOptionError):
-        return _twice(" ".join(error.section.split()), error.option)
+        return _duplicate_error(" ".join(error.section.split()), error.option)
     if isinstance(error, configparser.MissingSectionHeaderError):
         detail = f"line {error.lineno} is before any section."
         remedy = "Start the text with a section line, e.g. [fleet]."
@@ -231,7 +233,7 @@
     known = list(model.model_fields)
     if fault["type"] == "extra_forbidden":
         detail = "is not a key of this section."
-        remedy = nearest(key or "", known)
+        remedy = suggest(key or "", known)
     elif fault["type"] == "missing":
         detail = "is missing."
         remedy = f"Add a line '{key} = ...'."
--- a/src/almondshift/adapters/peer_codec.py
+++ b/src/almondshift/adapters/peer_codec.py
@@ -26,7 +26,7 @@
 """Maximum number of facts, digests or wants in one message."""
 
 WORD_BYTES = 8
-INFLATED_GROWTH = 4
+MAX_INFLATION_FACTOR = 4
 """Maximum size of a decompressed message, as a multiple of the frame limit."""
 
 COMPRESSION_LEVEL = 1
@@ -79,7 +79,7 @@
             builder.body = answer.body
     flat = envelope.to_bytes()
     content = zlib.compress(flat, COMPRESSION_LEVEL)
-    if max(len(content), len(flat) // INFLATED_GROWTH) > max_bytes:
+    if max(len(content), len(flat) // MAX_INFLATION_FACTOR) > max_bytes:
         raise ValueError(f"peer message too large: {len(flat)} bytes")
     return content
 
@@ -96,11 +96,11 @@
     Returns:
         The frame, or the reason why it is invalid.
     """
-    most = max_bytes * INFLATED_GROWTH
+    max_inflated_bytes = max_bytes * MAX_INFLATION_FACTOR
     try:
-        flat = inflate(content, most)
+        flat = inflate(content, max_inflated_bytes)
         with schema.Envelope.from_bytes(
-            flat, traversal_limit_in_words=most // WORD_BYTES
+            flat, traversal_limit_in_words=max_inflated_bytes // WORD_BYTES
         ) as envelope:
             message = read_message(envelope)
             return expression.Ok(Frame(envelope.callNumber, message))
@@ -108,14 +108,14 @@
         return expression.Error(MalformedFrame(str(error)))
 
 
-def inflate(content: bytes, most: int) -> bytes:
+def inflate(content: bytes, max_inflated_bytes: int) -> bytes:
     """Returns the decompressed bytes.
 
     Raises:
         ValueError: If they exceed the limit or the stream is incomplete.
     """
     stream = zlib.decompressobj()
-    flat = stream.decompress(content, most)
+    flat = stream.decompress(content, max_inflated_bytes)
     if not stream.eof or stream.unused_data:
         raise ValueError("not one complete compressed message")
     return flat
@@ -174,7 +174,7 @@
         sender=reader.sender,
         secret=reader.secret,
         digests=read_digests(reader.digests),
-        facts=tuple(read_fact(item) for item in bounded(reader.facts)),
+        facts=tuple(read_fact(item) for item in check_length(reader.facts)),
         wants=read_digests(reader.wants),
     )
 
@@ -201,11 +201,11 @@
             version=item.version,
             origin=item.origin or item.key,
         )
-        for item in bounded(items)
+        for item in check_length(items)
     )
 
 
-def bounded(items: Any) -> Any:
+def check_length(items: Any) -> Any:
     """Returns the list, or raises ``ValueError`` if it is too long."""
     if len(items) > MAX_ITEMS:
         raise ValueError(f"list too long: {len(items)} items")
--- a/src/almondshift/adapters/peer_link.py
+++ b/src/almondshift/adapters/peer_link.py
@@ -44,18 +44,18 @@
     Attributes:
         max_frame_bytes: Largest frame sent or accepted.
         max_connections: Incoming connections at once; more are closed.
-        kept_per_peer: Idle connections kept to one peer.
-        kept_in_all: Idle connections kept to all peers.
-        idle_s: Idle time after which an incoming connection is closed.
-        frame_s: Timeout for the rest of a frame after its first byte.
+        max_idle_per_peer: Idle connections kept to one peer.
+        max_idle_total: Idle connections kept to all peers.
+        idle_timeout_s: Idle time after which an incoming connection is closed.
+        frame_timeout_s: Timeout for the rest of a frame after its first byte.
     """
 
     max_frame_bytes: int = 1_048_576
     max_connections: int = 512
-    kept_per_peer: int = 2
-    kept_in_all: int = 64
-    idle_s: float = 300.0
-    frame_s: float = 5.0
+    max_idle_per_peer: int = 2
+    max_idle_total: int = 64
+    idle_timeout_s: float = 300.0
+    frame_timeout_s: float = 5.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -92,11 +92,11 @@
         self.settings = settings
         self.address = f"{host}:{port}"
         self.counts = LinkCounts()
-        self.numbers = itertools.count(1)
-        self.kept: collections.OrderedDict[iostream.IOStream, str] = (
+        self.call_numbers = itertools.count(1)
+        self.idle_streams: collections.OrderedDict[iostream.IOStream, str] = (
             collections.OrderedDict()
         )
-        self.busy: set[iostream.IOStream] = set()
+        self.active_streams: set[iostream.IOStream] = set()
         self.server: FrameServer | None = None
 
     async def start(
@@ -115,10 +115,10 @@
         if self.server is not None:
             self.server.stop()
             self.server.close_connections()
-        for stream in [*self.kept, *self.busy]:
+        for stream in [*self.idle_streams, *self.active_streams]:
             stream.close()
-        self.kept.clear()
-        self.busy.clear()
+        self.idle_streams.clear()
+        self.active_streams.clear()
 
     async def call(
         self, address: str, message: peers.PeerMessage, timeout_s: float
@@ -147,30 +147,30 @@
         progress: CallProgress,
     ) -> expression.Result[peers.PeerMessage, errors.PeerUnreachable]:
         """Makes one call on an idle or new connection."""
-        stream = await self.connection(address, progress)
-        number = next(self.numbers)
-        content = self.encoded(peer_codec.Frame(number, message))
+        stream = await self.get_connection(address, progress)
+        number = next(self.call_numbers)
+        content = self.encode_frame(peer_codec.Frame(number, message))
         progress.sent = True
         await stream.write(content)
         answer = await self.read_frame(stream)
         if answer.is_error() or answer.ok.call_number != number:
             detail = f"Peer {address} sent an invalid reply."
             return expression.Error(errors.PeerUnreachable(detail))
-        if not self.is_trusted(answer.ok.message):
+        if not self.has_valid_secret(answer.ok.message):
             detail = f"Peer {address} replied with a wrong secret."
             return expression.Error(errors.PeerUnreachable(detail))
-        progress.whole = True
+        progress.completed = True
         self.counts.answered += 1
         return expression.Ok(answer.ok.message)
 
-    async def connection(
+    async def get_connection(
         self, address: str, progress: CallProgress
     ) -> iostream.IOStream:
         """Returns an idle connection to the peer, or a new one."""
-        stream = self.take_kept(address)
+        stream = self.take_idle(address)
         if stream is not None:
             progress.stream = stream
-            self.busy.add(stream)
+            self.active_streams.add(stream)
             return stream
         host, port = split_address(address)
         stream = iostream.IOStream(
@@ -179,15 +179,15 @@
         )
         stream.set_nodelay(True)
         progress.stream = stream
-        self.busy.add(stream)
+        self.active_streams.add(stream)
         await stream.connect((host, port))
         return stream
 
-    def take_kept(self, address: str) -> iostream.IOStream | None:
+    def take_idle(self, address: str) -> iostream.IOStream | None:
         """Takes the newest open idle connection to a peer, if any."""
-        for stream, peer in reversed(self.kept.items()):
+        for stream, peer in reversed(self.idle_streams.items()):
             if peer == address and not stream.closed():
-                del self.kept[stream]
+                del self.idle_streams[stream]
                 return stream
         return None
 
@@ -195,25 +195,25 @@
         """Keeps the connection if its call completed, else closes it."""
         stream = progress.stream
         assert stream is not None
-        self.busy.discard(stream)
-        if not progress.whole or stream.closed() or self.server is None:
+        self.active_streams.discard(stream)
+        if not progress.completed or stream.closed() or self.server is None:
             stream.close()
             return
-        same = [s for s, peer in self.kept.items() if peer == address]
-        if len(same) >= self.settings.kept_per_peer:
+        same = [s for s, peer in self.idle_streams.items() if peer == address]
+        if len(same) >= self.settings.max_idle_per_peer:
             stream.close()
             return
-        self.kept[stream] = address
-        stream.set_close_callback(lambda: self.forget(stream))
-        while len(self.kept) > self.settings.kept_in_all:
-            oldest, _ = self.kept.popitem(last=False)
+        self.idle_streams[stream] = address
+        stream.set_close_callback(lambda: self.remove_idle(stream))
+        while len(self.idle_streams) > self.settings.max_idle_total:
+            oldest, _ = self.idle_streams.popitem(last=False)
             oldest.close()
 
-    def forget(self, stream: iostream.IOStream) -> None:
+    def remove_idle(self, stream: iostream.IOStream) -> None:
         """Removes an idle connection that the peer closed."""
-        self.kept.pop(stream, None)
+        self.idle_streams.pop(stream, None)
 
-    def encoded(self, frame: peer_codec.Frame) -> bytes:
+    def encode_frame(self, frame: peer_codec.Frame) -> bytes:
         """Returns the frame's header and content, with this link's secret.
 
         Raises:
@@ -238,18 +238,18 @@
         occupy all incoming connections of this node.
         """
         first = await stream.read_bytes(1)
-        async with asyncio.timeout(self.settings.frame_s):
+        async with asyncio.timeout(self.settings.frame_timeout_s):
             rest = await stream.read_bytes(HEADER.size - 1)
         (size,) = HEADER.unpack(first + rest)
         if size > self.settings.max_frame_bytes:
             detail = f"frame too large: {size} bytes"
             return expression.Error(peer_codec.MalformedFrame(detail))
-        async with asyncio.timeout(self.settings.frame_s):
+        async with asyncio.timeout(self.settings.frame_timeout_s):
             content = await stream.read_bytes(size)
         self.counts.bytes_received += HEADER.size + size
         return peer_codec.decode(content, self.settings.max_frame_bytes)
 
-    def is_trusted(self, message: peers.PeerMessage) -> bool:
+    def has_valid_secret(self, message: peers.PeerMessage) -> bool:
         """Returns whether a message has the secret, in constant time.
 
         A reply carries none: it arrives on a connection opened by this node.
@@ -267,7 +267,7 @@
 
     stream: iostream.IOStream | None = None
     sent: bool = False
-    whole: bool = False
+    completed: bool = False
 
 
 class FrameServer(tcpserver.TCPServer):
@@ -306,7 +306,7 @@
 
     async def serve_frame(self, stream: iostream.IOStream) -> bool:
         """Replies to one frame; returns whether to keep the connection."""
-        async with asyncio.timeout(self.link.settings.idle_s):
+        async with asyncio.timeout(self.link.settings.idle_timeout_s):
             request = await self.link.read_frame(stream)
         if request.is_error():
             self.link.counts.malformed += 1
@@ -315,13 +315,13 @@
         if isinstance(frame.message, peers.Answer):
             self.link.counts.malformed += 1
             return False
-        if not self.link.is_trusted(frame.message):
+        if not self.link.has_valid_secret(frame.message):
             self.link.counts.wrong_secret += 1
             return False
         answer = await self.handler(frame.message)
         reply = peer_codec.Frame(frame.call_number, answer)
-        async with asyncio.timeout(self.link.settings.frame_s):
-            await stream.write(self.link.encoded(reply))
+        async with asyncio.timeout(self.link.settings.frame_timeout_s):
+            await stream.write(self.link.encode_frame(reply))
         return True
 
     def close_connections(self) -> None:
--- a/src/almondshift/adapters/platform_client.py
+++ b/src/almondshift/adapters/platform_client.py
@@ -15,7 +15,7 @@
 from almondshift.adapters import curl_client
 from almondshift.adapters import platform_messages
 
-CONCURRENT_REQUESTS = 16
+MAX_CONCURRENT_REQUESTS = 16
 DEFAULT_RETRY_AFTER_S = 1.0
 REFUSED_STATUSES = (429, 503)
 NOT_FOUND = 404
@@ -46,7 +46,7 @@
 
     def __init__(self, is_write: bool) -> None:
         self.is_write = is_write
-        self.may_have_left = False
+        self.may_have_sent = False
 
     def prepare(self, curl: pycurl.Curl) -> None:
         """Sets options that tornado leaves at libcurl's defaults.
@@ -66,7 +66,7 @@
             curl.setopt(pycurl.FORBID_REUSE, 1)
 
     def _before_request(self, *addresses: object) -> int:
-        self.may_have_left = True
+        self.may_have_sent = True
         return pycurl.PREREQFUNC_OK
 
 
@@ -126,12 +126,14 @@
     ) -> expression.Result[PlatformAnswer, ClientError]:
         if not await self._take_slot():
             return expression.Error(
-                self._unavailable("has too many calls in flight.")
+                self._unavailable_error("has too many calls in flight.")
             )
         try:
             if self.http is None:
                 return expression.Error(
-                    self._unavailable("was not called: the client is closed.")
+                    self._unavailable_error(
+                        "was not called: the client is closed."
+                    )
                 )
             return await self._send(self.http, method, path, body)
         finally:
@@ -175,16 +177,16 @@
         try:
             response = await future
         except httpclient.HTTPError as error:
-            return expression.Error(self._broken(error, transfer))
+            return expression.Error(self._transfer_error(error, transfer))
         return self._interpret(response)
 
-    def _broken(
+    def _transfer_error(
         self, error: httpclient.HTTPError, transfer: _Transfer
     ) -> ClientError:
         detail = f"failed: {error.message}."
-        if transfer.may_have_left:
-            return self._unknown(detail)
-        return self._unavailable(detail)
+        if transfer.may_have_sent:
+            return self._unknown_outcome_error(detail)
+        return self._unavailable_error(detail)
 
     def _interpret(
         self, response: httpclient.HTTPResponse
@@ -195,17 +197,17 @@
             return expression.Error(
                 errors.ConditionFailed("The row has another revision.")
             )
-        return expression.Error(self._refused(response))
+        return expression.Error(self._refusal_error(response))
 
-    def _refused(self, response: httpclient.HTTPResponse) -> ClientError:
+    def _refusal_error(self, response: httpclient.HTTPResponse) -> ClientError:
         detail = f"answered {response.code}."
         if response.code not in REFUSED_STATUSES:
-            return self._unknown(detail)
+            return self._unknown_outcome_error(detail)
         if not _says_nothing_applied(response.body):
-            return self._unknown(detail)
-        return self._unavailable(detail, _retry_after(response))
+            return self._unknown_outcome_error(detail)
+        return self._unavailable_error(detail, _retry_after(response))
 
-    def _unavailable(
+    def _unavailable_error(
         self, detail: str, retry_after_s: float = DEFAULT_RETRY_AFTER_S
     ) -> errors.StoreUnavailable:
         return errors.StoreUnavailable(
@@ -213,7 +215,7 @@
             retry_after_s=retry_after_s,
         )
 
-    def _unknown(self, detail: str) -> errors.StoreOutcomeUnknown:
+    def _unknown_outcome_error(self, detail: str) -> errors.StoreOutcomeUnknown:
         return errors.StoreOutcomeUnknown(
             f"The platform at {self.address} {detail}"
         )
@@ -243,7 +245,7 @@
 def create_platform_client(
     address: str,
     timeout_s: float,
-    concurrent_requests: int = CONCURRENT_REQUESTS,
+    concurrent_requests: int = MAX_CONCURRENT_REQUESTS,
 ) -> PlatformClient:
     """Creates a client of the platform.
 
--- a/src/almondshift/adapters/platform_store.py
+++ b/src/almondshift/adapters/platform_store.py
@@ -37,7 +37,7 @@
         return None
 
 
-def _unreadable() -> errors.StoreUnavailable:
+def _undecodable_error() -> errors.StoreUnavailable:
     return errors.StoreUnavailable(
         "The platform's response could not be decoded.",
         remedy="Check that the configured platform address is correct.",
@@ -69,7 +69,7 @@
             return expression.Ok(None)
         row = _decode(answer.ok.body, platform_messages.RowBody)
         if row is None:
-            return expression.Error(_unreadable())
+            return expression.Error(_undecodable_error())
         return expression.Ok(
             stores.Row(table, row.key, row.value, row.revision)
         )
@@ -85,7 +85,7 @@
             return expression.Error(answer.error)
         found = _decode(answer.ok.body, platform_messages.RowsBody)
         if found is None:
-            return expression.Error(_unreadable())
+            return expression.Error(_undecodable_error())
         rows = [
             stores.Row(table, row.key, row.value, row.revision)
             for row in found.rows
@@ -182,7 +182,7 @@
             )
         found = _decode(answer.ok.body, platform_messages.VmsBody)
         if found is None:
-            return expression.Error(_unreadable())
+            return expression.Error(_undecodable_error())
         return expression.Ok([_vm(body) for body in found.vms])
 
 
--- a/src/almondshift/adapters/relay_settings.py
+++ b/src/almondshift/adapters/relay_settings.py
@@ -18,7 +18,7 @@
     str, msgspec.Meta(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$")
 ]
 Seconds = Annotated[float, msgspec.Meta(gt=0, le=86_400)]
-NotNegative = Annotated[float, msgspec.Meta(ge=0, le=1e9)]
+NonNegative = Annotated[float, msgspec.Meta(ge=0, le=1e9)]
 
 
 class NodeSection(msgspec.Struct, forbid_unknown_fields=True):
@@ -84,7 +84,7 @@
         grace_s: After this the process is killed.
     """
 
-    hold_s: NotNegative = 2.9
+    hold_s: NonNegative = 2.9
     grace_s: Seconds = 8.0
 
 
@@ -97,9 +97,9 @@
         allowance: Additional retries per window, beyond the ratio.
     """
 
-    ratio: NotNegative = 0.1
+    ratio: NonNegative = 0.1
     window_s: Seconds = 10.0
-    allowance: NotNegative = 10.0
+    allowance: NonNegative = 10.0
 
 
 class EnginesSection(msgspec.Struct, forbid_unknown_fields=True):
@@ -110,7 +110,7 @@
             registered as leaving.
     """
 
-    notice_ms: NotNegative = 2_000.0
+    notice_ms: NonNegative = 2_000.0
 
 
 class RelaySettings(msgspec.Struct, forbid_unknown_fields=True):
--- a/src/almondshift/adapters/request_observer.py
+++ b/src/almondshift/adapters/request_observer.py
@@ -20,7 +20,7 @@
 
 logger = logging.getLogger(__name__)
 
-CALLERS_OWN = (
+EXCLUDED_FROM_OBJECTIVES = (
     errors.MalformedRequest,
     errors.IdempotencyKeyRequired,
     errors.IdempotencyKeyReused,
@@ -56,13 +56,13 @@
         self.service = service
         self.arrived = arrived
         self.tokens = 0
-        self._last = arrived
+        self._last_token_at = arrived
         self._ended = False
 
     def token(self) -> None:
         """Records a token that is sent to the caller."""
         now = self.observer.clock.monotonic()
-        seconds = now - self._last
+        seconds = now - self._last_token_at
         if self.tokens == 0:
             self.observer.metrics.first_token(self.service, seconds)
             self.observer.counts.record_first_token(
@@ -74,7 +74,7 @@
                 self.service, self.account, seconds
             )
         self.tokens += 1
-        self._last = now
+        self._last_token_at = now
 
     def answered(
         self, recoveries: tuple[completions.Recovery, ...] = ()
@@ -85,7 +85,7 @@
         if not self._end(metric_parts.OK):
             return
         self.observer.counts.record_whole(self.service, self.account)
-        self.observer.note_answer(self.service, self.tokens, self._seconds())
+        self.observer.note_answer(self.service, self.tokens, self._elapsed_s())
         log_events.emit(
             logger,
             log_events.RequestAnswered(
@@ -93,7 +93,7 @@
                 account=self.account,
                 service=self.service,
                 tokens=self.tokens,
-                seconds=round(self._seconds(), 4),
+                seconds=round(self._elapsed_s(), 4),
                 recoveries=len(recoveries),
             ),
         )
@@ -102,9 +102,9 @@
         """Records a request that ended with an error."""
         if not self._end(error.kind):
             return
-        seconds = self._seconds()
+        seconds = self._elapsed_s()
         self.observer.metrics.request_refused(error.kind, seconds)
-        if not isinstance(error, CALLERS_OWN):
+        if not isinstance(error, EXCLUDED_FROM_OBJECTIVES):
             self.observer.counts.record_whole(
                 self.service, self.account, error.kind
             )
@@ -142,7 +142,7 @@
         self.observer.end(self.service, self.account, kind)
         return True
 
-    def _seconds(self) -> float:
+    def _elapsed_s(self) -> float:
         return self.observer.clock.monotonic() - self.arrived
 
     def _recovered(self, recovery: completions.Recovery) -> None:
--- a/src/almondshift/adapters/settings.py
+++ b/src/almondshift/adapters/settings.py
@@ -105,21 +105,21 @@
 
 
 def _parse(text: str) -> NodeSettings:
-    written = {s.title: s for s in ini_sections.read(text)}
-    for title in written:
+    sections = {s.title: s for s in ini_sections.read(text)}
+    for title in sections:
         _check_title(title)
-    node = _section(written, "node", settings_sections.NodeSection)
-    entry = _section(written, "entry", settings_sections.EntrySection)
-    peers = _section(written, "peers", settings_sections.PeersSection)
-    platform = _section(written, "platform", settings_sections.PlatformSection)
+    node = _section(sections, "node", settings_sections.NodeSection)
+    entry = _section(sections, "entry", settings_sections.EntrySection)
+    peers = _section(sections, "peers", settings_sections.PeersSection)
+    platform = _section(sections, "platform", settings_sections.PlatformSection)
     operators = _section(
-        written, "operators", settings_sections.OperatorsSection
+        sections, "operators", settings_sections.OperatorsSection
     )
-    drain = _section(written, "drain", settings_sections.DrainSection)
-    control = _section(written, "control", settings_sections.ControlSection)
-    limits = _section(written, "limits", settings_sections.LimitsSection)
+    drain = _section(sections, "drain", settings_sections.DrainSection)
+    control = _section(sections, "control", settings_sections.ControlSection)
+    limits = _section(sections, "limits", settings_sections.LimitsSection)
     experiment = _section(
-        written, "experiment", settings_sections.ExperimentSection
+        sections, "experiment", settings_sections.ExperimentSection
     )
     _check_advertised("entry", entry.host, entry.advertise)
     _check_advertised("peers", peers.host, peers.advertise)
@@ -158,7 +158,7 @@
             "is not a section of a node's settings.",
             section=ini_sections.shorten(title),
             key=None,
-            remedy=ini_sections.nearest(title, known),
+            remedy=ini_sections.suggest(title, known),
         )
 
 
@@ -174,9 +174,9 @@
 
 
 def _section(
-    written: dict[str, ini_sections.Section],
+    sections: dict[str, ini_sections.Section],
     title: str,
     model: type[ini_sections.ModelT],
 ) -> ini_sections.ModelT:
     empty = ini_sections.Section(title, (), {})
-    return ini_sections.build(written.get(title, empty), model)
+    return ini_sections.build(sections.get(title, empty), model)
--- a/src/almondshift/adapters/settings_sections.py
+++ b/src/almondshift/adapters/settings_sections.py
@@ -29,7 +29,7 @@
 
 Address = Annotated[str, pydantic.AfterValidator(_check_address)]
 Addresses = Annotated[
-    ini_sections.Texts, pydantic.AfterValidator(_check_addresses)
+    ini_sections.Strings, pydantic.AfterValidator(_check_addresses)
 ]
 Advertise = Annotated[str, pydantic.AfterValidator(_check_advertise)]
 Port = Annotated[int, pydantic.Field(ge=0, le=65535)]
--- a/src/almondshift/adapters/stdout_log.py
+++ b/src/almondshift/adapters/stdout_log.py
@@ -37,14 +37,14 @@
 
     def emit(self, record: logging.LogRecord) -> None:
         """Writes a line if the rate limit and the pipe allow it."""
-        if not self.has_credit():
+        if not self.consume_credit():
             self.dropped += 1
             return
         if self.dropped:
             self.report_dropped()
         self.write(self.format(record))
 
-    def has_credit(self) -> bool:
+    def consume_credit(self) -> bool:
         """Consumes the credit for one line; returns False if there is none."""
         now = time.monotonic()
         earned = (now - self.refilled_at) * self.lines_per_s
--- a/tests/adapters/test_curl_calls.py
+++ b/tests/adapters/test_curl_calls.py
@@ -160,7 +160,7 @@
             await asynchronous.wait_until(lambda: bool(group))
             late = make_call(address, timeout_s=0.05)
             unsent = (await client.send(late, set())).error
-            curl_calls.fail_waiting(group)
+            curl_calls.fail_in_flight(group)
             unknown = (await slow).error
 
     assert isinstance(unsent, errors.EndpointUnreachable)
--- a/tests/adapters/test_http_caller.py
+++ b/tests/adapters/test_http_caller.py
@@ -38,7 +38,7 @@
     caller = http_caller.create_caller("key", [address])
     await caller.start()
     answer = await caller.complete("chat", "hello", 5, address=address)
-    assert answer.status == http_caller.NO_ANSWER
+    assert answer.status == http_caller.NO_RESPONSE_STATUS
     assert not answer.whole
     assert answer.unreachable is unreachable
     await caller.close()
--- a/tests/adapters/test_peer_codec.py
+++ b/tests/adapters/test_peer_codec.py
@@ -87,7 +87,7 @@
     zlib writes a thousand zeros in a byte; whoever reaches the port could
     send a frame of 1 MB that inflates to 1 GB.
     """
-    body = bytes(MAX_BYTES * peer_codec.INFLATED_GROWTH)
+    body = bytes(MAX_BYTES * peer_codec.MAX_INFLATION_FACTOR)
     frame = peer_codec.Frame(1, peers.Answer(known=True, body=body))
     content = peer_codec.encode(frame, 100 * MAX_BYTES)
     assert len(content) < MAX_BYTES
--- a/tests/adapters/test_peer_link.py
+++ b/tests/adapters/test_peer_link.py
@@ -22,7 +22,7 @@
 
 SECRET = "secret"
 SMALL = peer_link.PeerLinkSettings(
-    max_frame_bytes=4_096, max_connections=3, frame_s=0.3
+    max_frame_bytes=4_096, max_connections=3, frame_timeout_s=0.3
 )
 
 
@@ -64,8 +64,8 @@
                 )
             )
             assert [a.ok.body for a in answers] == bodies  # type: ignore[union-attr]
-            assert len(client.kept) == settings.kept_per_peer
-            assert not client.busy
+            assert len(client.idle_streams) == settings.max_idle_per_peer
+            assert not client.active_streams
 
     asyncio.run(scenario())
 
@@ -84,7 +84,7 @@
                 server.address, question(b"first", "slow"), 0.1
             )
             assert late.error.execution is errors.Execution.UNKNOWN
-            assert not client.kept
+            assert not client.idle_streams
             answer = await client.call(
                 server.address, question(b"second", "slow"), 5.0
             )
@@ -109,7 +109,7 @@
             address = f"127.0.0.1:{port}"
             result = await client.call(address, question(b""), 5.0)
             assert "sent an invalid reply" in result.error.detail
-            assert not client.kept
+            assert not client.idle_streams
         server.close()
 
     asyncio.run(scenario())
@@ -134,7 +134,7 @@
         async with two_links() as (client, _):
             result = await client.call(address, question(b""), 2.0)
             assert result.error.execution is errors.Execution.NOT_RUN
-            assert not client.busy
+            assert not client.active_streams
 
     asyncio.run(scenario())
 
@@ -182,7 +182,7 @@
         async with two_links() as (client, server):
             proxy = await fault_proxy.create_fault_proxy(server.address)
             await client.call(proxy.address, question(b"1"), 5.0)
-            assert client.kept
+            assert client.idle_streams
             proxy.cut()
             await asyncio.sleep(0.05)
             again = await client.call(proxy.address, question(b"2"), 5.0)
@@ -277,6 +277,6 @@
             big = question(random.Random(1).randbytes(5_000))
             with pytest.raises(ValueError, match="bytes"):
                 await client.call(server.address, big, 5.0)
-            assert not client.busy
+            assert not client.active_streams
 
     asyncio.run(scenario())
