--- a/src/almondshift/adapters/fleet_sections.py
+++ b/src/almondshift/adapters/fleet_sections.py
@@ -76,14 +76,14 @@
         ),
     )
     replicas: Annotated[int, pydantic.Field(ge=1, le=1000)] = pydantic.Field(
-        default=1, description="the minimum of complete chains, 1 to 1000"
+        default=1, description="minimum number of complete chains, 1 to 1000"
     )
     max_prompt_tokens: Annotated[int, pydantic.Field(ge=1, le=10**7)] = (
         pydantic.Field(default=4096, description="the longest prompt in tokens")
     )
     max_output_tokens: Annotated[int, pydantic.Field(ge=1, le=10**7)] = (
         pydantic.Field(
-            default=1024, description="the maximum tokens of one completion"
+            default=1024, description="the most tokens of one completion"
         )
     )
     objective_whole_share: Annotated[
--- a/tests/adapters/dying_servers.py
+++ b/tests/adapters/closing_servers.py
@@ -1,4 +1,4 @@
-"""A server whose kept connections die with a request on them."""
+"""A server that closes reused connections while a request is in flight."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 
 @dataclasses.dataclass(slots=True)
-class DyingServer:
-    """Answers one request on each connection and closes at the next.
+class ClosingServer:
+    """Responds to one request per connection and closes at the next one.
 
     Attributes:
-        bodies: Bodies of all requests that arrived whole.
-        stop_listening: Whether to stop listening before it closes, as a
-            process that died would.
+        bodies: Bodies of all complete requests.
+        stop_listening: Whether to stop listening before closing, like a
+            process that died.
     """
 
     stop_listening: bool = False
--- a/tests/adapters/test_curl_calls.py
+++ b/tests/adapters/test_curl_calls.py
@@ -12,7 +12,7 @@
 from almondshift import errors
 from almondshift.adapters import curl_calls
 from tests import asynchronous
-from tests.adapters import dying_servers
+from tests.adapters import closing_servers
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
@@ -43,7 +43,7 @@
 
 @contextlib.asynccontextmanager
 async def run_silent_server() -> AsyncIterator[str]:
-    """Runs a server that takes requests and never answers."""
+    """Runs a server that accepts requests and never responds."""
 
     async def serve(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -58,17 +58,17 @@
 @METHODS
 @pytest.mark.parametrize("stop_listening", [False, True])
 @asynchronous.run
-async def test_call_on_a_dying_kept_connection(
+async def test_call_on_reused_connection_that_breaks(
     method: str, stop_listening: bool
 ) -> None:
-    """The caller sees an unknown outcome, and never a second run.
+    """The caller sees an unknown outcome, and the call never runs twice.
 
-    The first call succeeds and its connection is kept. The endpoint takes
-    the second call on it and dies without an answer. libcurl would connect
-    anew and send the body again; if that connection were refused, it would
-    even look as if nothing had been sent. A GET may be sent again.
+    The first call succeeds and its connection is reused. The endpoint reads
+    the second call on it and dies without a response. libcurl would reconnect
+    and send the body again; if that connection were refused, it would even
+    look as if nothing had been sent. A GET may be sent again.
     """
-    server = dying_servers.DyingServer(stop_listening)
+    server = closing_servers.ClosingServer(stop_listening)
     await server.start()
     with run_client() as client:
         first = make_call(server.address, b"one", method)
@@ -84,9 +84,9 @@
 
 
 @asynchronous.run
-async def test_client_without_the_guard_does_send_twice() -> None:
-    """Shows that the server above brings about what is guarded against."""
-    server = dying_servers.DyingServer()
+async def test_plain_tornado_client_sends_twice() -> None:
+    """Shows that the server provokes the retry that the client prevents."""
+    server = closing_servers.ClosingServer()
     await server.start()
     client = curl_httpclient.CurlAsyncHTTPClient(force_instance=True)
     for body in (b"one", b"two"):
@@ -101,8 +101,8 @@
 
 
 @asynchronous.run
-async def test_fresh_call_uses_a_connection_of_its_own() -> None:
-    server = dying_servers.DyingServer()
+async def test_fresh_call_uses_new_connection() -> None:
+    server = closing_servers.ClosingServer()
     await server.start()
     with run_client() as client:
         for _ in range(2):
@@ -124,7 +124,7 @@
     ],
 )
 @asynchronous.run
-async def test_error_says_whether_anything_was_sent(
+async def test_error_reports_whether_anything_was_sent(
     method: str,
     fresh: bool,
     fault: str,
@@ -133,7 +133,7 @@
     async with run_silent_server() as address:
         call = make_call(address, method=method, fresh=fresh, timeout_s=0.3)
         if fault == "refused":
-            closed = dying_servers.DyingServer()
+            closed = closing_servers.ClosingServer()
             await closed.start()
             await closed.close()
             url = f"http://{closed.address}/"
@@ -147,11 +147,11 @@
 
 
 @asynchronous.run
-async def test_wait_for_a_free_connection_sends_nothing() -> None:
-    """The caller of a full client is told truly that nothing was sent.
+async def test_timeout_waiting_for_slot_sends_nothing() -> None:
+    """A call that times out waiting for a slot is reported as not sent.
 
-    The caller before it is told that its call may have run, when the
-    connection is closed under it.
+    The call that occupies the slot is reported as possibly run when its
+    connection is closed.
     """
     group: set[asyncio.Future[curl_calls.CallResult]] = set()
     async with run_silent_server() as address:
@@ -168,11 +168,11 @@
 
 
 @asynchronous.run
-async def test_slot_of_a_cancelled_caller_is_held_until_its_end() -> None:
-    """A caller that gave up leaves its transfer running.
+async def test_slot_of_cancelled_caller_is_held_until_transfer_ends() -> None:
+    """The transfer of a cancelled caller keeps running.
 
-    If its slot were free at once, the next call would wait in the client's
-    hidden queue, and time out there by another clock.
+    If its slot were released at once, the next call would wait in tornado's
+    internal queue and time out there with a different start time.
     """
     group: set[asyncio.Future[curl_calls.CallResult]] = set()
     async with run_silent_server() as address:
--- a/tests/adapters/test_fleet_text.py
+++ b/tests/adapters/test_fleet_text.py
@@ -21,13 +21,13 @@
 HASH = "sha256:" + "0" * 64
 
 
-def _fault(text: str) -> errors.ConfigInvalid:
+def _parse_error(text: str) -> errors.ConfigInvalid:
     parsed = fleet_text.parse(text, 1)
     assert parsed.is_error()
     return parsed.error
 
 
-def test_sample_is_what_the_demo_needs() -> None:
+def test_sample_fleet_matches_demo() -> None:
     sample = samples.sample_fleet()
     assert sample.models["adviser"].layers == 12
     priorities = {s.name: s.priority.name for s in sample.services.values()}
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "section", "key", "says"),
+    ("old", "new", "section", "key", "message"),
     [
         ("priority = bulk", "prioriti = bulk", "service drafts", "prioriti",
          "Did you mean 'priority'?"),
@@ -112,38 +112,38 @@
         ("name = sample", "name = %(x)s", "fleet", "name", "a name of"),
     ],
 )  # fmt: skip
-def test_faults_name_section_key_and_remedy(
-    old: str, new: str, section: str, key: str | None, says: str
+def test_errors_name_section_key_and_remedy(
+    old: str, new: str, section: str, key: str | None, message: str
 ) -> None:
     assert old in samples.TEXT
-    fault = _fault(samples.TEXT.replace(old, new, 1))
+    fault = _parse_error(samples.TEXT.replace(old, new, 1))
     assert (fault.section, fault.key) == (section, key)
-    assert says in str(fault)
+    assert message in str(fault)
 
 
 @pytest.mark.parametrize(
-    ("text", "says"),
+    ("text", "message"),
     [
         ("", "[fleet]"),
         ("#" * (ini_sections.MAX_TEXT_BYTES + 1), "over the limit"),
         ("[fleet]\nname = \ud800", "UTF-8"),
     ],
 )
-def test_texts_that_are_no_fleet(text: str, says: str) -> None:
-    assert says in str(_fault(text))
+def test_invalid_texts_are_rejected(text: str, message: str) -> None:
+    assert message in str(_parse_error(text))
 
 
-def test_equal_keys_are_refused() -> None:
-    """A caller with this key would be taken for either account."""
-    double = samples.TEXT + "\n".join(
+def test_duplicate_keys_are_rejected() -> None:
+    """A caller with this key would match both accounts."""
+    duplicated = samples.TEXT + "\n".join(
         f"[account {name}]\nkey_hash = {HASH}" for name in ("x", "y")
     )
-    fault = _fault(double)
+    fault = _parse_error(duplicated)
     assert (fault.section, fault.key) == ("account y", "key_hash")
 
 
 @pytest.mark.parametrize("closed", [False, True])
-def test_a_chain_longer_than_the_stack(closed: bool) -> None:
+def test_dependency_chain_deeper_than_recursion_limit(closed: bool) -> None:
     count = 3000
     last = "s0" if closed else ""
     text = "[fleet]\nname = x\n" + "".join(
@@ -154,7 +154,7 @@
     assert fleet_text.parse(text, 1).is_error() is closed
 
 
-def test_silence_is_the_safe_value() -> None:
+def test_defaults_are_safe() -> None:
     text = samples.TEXT.replace("idempotent = no\n", "")
     text = text.replace("checks_fencing = no\n", "")
     parsed = fleet_text.parse(text, 1).ok
@@ -174,7 +174,7 @@
     assert fleet_text.parse(fleet_render.render(parsed), 1).ok == parsed
 
 
-def test_canonical_text_gives_the_same_fleet() -> None:
+def test_canonical_text_round_trip() -> None:
     sample = samples.sample_fleet()
     canonical = fleet_render.render(sample)
     again = fleet_text.parse(canonical, 1).ok
--- a/tests/adapters/test_http_caller.py
+++ b/tests/adapters/test_http_caller.py
@@ -24,13 +24,13 @@
 
 @pytest.mark.parametrize("unreachable", [True, False])
 @asynchronous.run
-async def test_no_answer_says_whether_a_connection_was_made(
+async def test_missing_response_reports_whether_connected(
     unreachable: bool,
 ) -> None:
-    """A node is gone, or dies with the request in its hands.
+    """A node is down, or dies while the request is in flight.
 
-    Without a connection nothing was sent, and the caller may go to the next
-    address; else the request may have run.
+    Without a connection nothing was sent, and the caller may try the next
+    address; otherwise the request may have run.
     """
     server = await asyncio.start_server(read_and_close, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
--- a/tests/adapters/test_http_channels.py
+++ b/tests/adapters/test_http_channels.py
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass
 class Server:
-    """Answers each request with the next of some byte strings."""
+    """Responds to each request with the next of the given byte strings."""
 
     answers: list[bytes]
     then_reset: bool = False
@@ -122,7 +122,7 @@
     ids=range(16),
 )  # fmt: skip
 @asynchronous.run
-async def test_what_is_known_of_an_answer(
+async def test_outcome_of_response(
     answer: bytes, end: str, outcome: str, kept: bool
 ) -> None:
     server = Server([answer], end == "reset", end == "close")
@@ -140,7 +140,7 @@
 
 
 @asynchronous.run
-async def test_no_listener_means_not_sent() -> None:
+async def test_refused_connection_means_not_sent() -> None:
     server = Server([])
     await server.start()
     assert server.server is not None
@@ -153,10 +153,10 @@
 
 
 @asynchronous.run
-async def test_a_kept_connection_that_died_is_not_tried_again() -> None:
-    """A confirmation would run twice if it were sent again unasked.
+async def test_call_on_dead_reused_connection_is_not_retried() -> None:
+    """A non-idempotent request would run twice if it were retried.
 
-    The first call leaves a kept connection; the server closes it at the
+    The first call leaves an idle connection; the server closes it at the
     next request, after it may have run it. The call ends as broken.
     """
     server = Server([LENGTH_3])
@@ -171,11 +171,11 @@
 
 
 @asynchronous.run
-async def test_a_late_answer_on_a_kept_connection_meets_no_other_call() -> None:
-    """A caller would get the bytes of another caller's answer.
+async def test_late_response_is_not_delivered_to_another_call() -> None:
+    """Otherwise a caller would receive the response to another call.
 
-    A second answer arrives while the connection is kept; it is closed, and
-    the next call gets a connection of its own.
+    A second response arrives while the connection is idle; the connection is
+    closed, and the next call gets a new one.
     """
     server = Server([LENGTH_3 + b"", LENGTH_3])
     await server.start()
@@ -189,7 +189,7 @@
 
 
 @asynchronous.run
-async def test_cancel_closes_the_connection_and_ends_nothing() -> None:
+async def test_cancel_closes_connection_without_end_event() -> None:
     server = Server([OK + b"Content-Length: 9\r\n\r\nabc"])
     await server.start()
     pool = http_channels.create_channel_pool()
@@ -227,10 +227,10 @@
 
 
 @asynchronous.run
-async def test_the_answer_to_head_has_no_body() -> None:
-    """A caller's HEAD would hang until its timeout.
+async def test_response_to_head_has_no_body() -> None:
+    """Otherwise a HEAD request would hang until its timeout.
 
-    The answer names a length, as it would for GET, and nothing follows.
+    The response announces a length, as for GET, but no body follows.
     """
     server = Server([LENGTH_3[:-3]])
     await server.start()
--- a/tests/adapters/test_http_engine.py
+++ b/tests/adapters/test_http_engine.py
@@ -8,7 +8,7 @@
 from almondshift import errors
 from almondshift.adapters import http_engine
 from tests import asynchronous
-from tests.adapters import dying_servers
+from tests.adapters import closing_servers
 from tests.standins import rigs
 
 RESULT = ("r", "s", 1, 0, 0, 4, "m", 1, "", "ok", (1, 2, 3))
@@ -46,16 +46,16 @@
     ids=str,
 )
 @asynchronous.run
-async def test_answer_to_a_step(
+async def test_response_to_step(
     answer: bytes, error: type[errors.AlmondshiftError] | None
 ) -> None:
-    """Only an explicit refusal means that nothing ran; one call is sent."""
+    """Only an explicit refusal means that nothing ran; nothing is retried."""
     bodies = []
 
     async def serve(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        bodies.append(await dying_servers.read_request(reader))
+        bodies.append(await closing_servers.read_request(reader))
         writer.write(answer)
         writer.close()
 
--- a/tests/adapters/test_http_operations.py
+++ b/tests/adapters/test_http_operations.py
@@ -113,20 +113,20 @@
 
 
 @pytest.mark.parametrize("address", ["127.0.0.1:1", "x", "127.0.0.1:99999"])
-def test_a_node_that_cannot_be_reached_was_sent_nothing(address: str) -> None:
+def test_unreachable_node_means_not_run(address: str) -> None:
     error = _call(lambda client: client.apply(address, "", 0, "c", "a"))
     assert isinstance(error, http_operations_client.NodeUnreachable)
     assert error.execution is errors.Execution.NOT_RUN
 
 
 @pytest.mark.parametrize("reply", [None, b"", b"HTTP/1.1 200 OK\r\n\r\nx"])
-def test_an_apply_without_a_whole_answer_is_unknown(
+def test_apply_without_complete_response_is_unknown(
     reply: bytes | None,
 ) -> None:
     """The operator sees 'unknown', not 'failed'.
 
-    The node takes the call and then breaks the connection, answers with
-    something else, or not at all; the change may have been accepted.
+    The node reads the call and then closes the connection, sends an invalid
+    response, or none at all; the change may have been accepted.
     """
 
     async def serve(
--- a/tests/adapters/test_metrics.py
+++ b/tests/adapters/test_metrics.py
@@ -40,8 +40,8 @@
     assert value == 1
 
 
-def test_names_that_left_the_configuration_are_forgotten() -> None:
-    """Else 1,900 changes a day would fill the memory with old names."""
+def test_labels_of_removed_names_are_removed() -> None:
+    """Otherwise 1,900 changes per day would fill memory with stale labels."""
     created = _metrics()
     created.request_ended("drafts", "members-app", "ok")
     created.first_token("drafts", 0.1)
@@ -54,7 +54,7 @@
     assert b'service="advice"' in text
 
 
-def test_bounds() -> None:
+def test_label_limits() -> None:
     created = _metrics()
     accounts = {
         f"a{i}": fleet.Account(f"a{i}", "", weight=i)
--- a/tests/adapters/test_peer_codec.py
+++ b/tests/adapters/test_peer_codec.py
@@ -16,7 +16,7 @@
 kinds = st.sampled_from(peers.FactKind)
 keys = st.text(min_size=1, max_size=20)
 digests = st.builds(peers.FactDigest, kinds, keys, versions, keys)
-held = st.builds(
+facts = st.builds(
     peers.Fact,
     kinds,
     keys,
@@ -31,7 +31,7 @@
         texts,
         texts,
         st.lists(digests, max_size=5).map(tuple),
-        st.lists(held, max_size=5).map(tuple),
+        st.lists(facts, max_size=5).map(tuple),
         st.lists(digests, max_size=5).map(tuple),
     ),
     st.builds(peers.Question, texts, texts, texts, st.binary(max_size=100)),
@@ -52,7 +52,7 @@
 
 
 PACKED_AND_CUT = b"\xf0\x80\x96\x98\x00\x00\xff"
-"""Ended the process when messages were packed; see peer_codec."""
+"""Terminated the process with Cap'n Proto packing; see ``peer_codec``."""
 
 
 @fuzz
@@ -60,32 +60,32 @@
 @hypothesis.example(b"")
 @hypothesis.example(b"\xff" * 64)
 @hypothesis.example(PACKED_AND_CUT)
-def test_any_bytes_give_a_frame_or_an_error(content: bytes) -> None:
-    for damaged in (content, zlib.compress(content)):
-        result = peer_codec.decode(damaged, MAX_BYTES)
+def test_arbitrary_bytes_decode_to_frame_or_error(content: bytes) -> None:
+    for corrupted in (content, zlib.compress(content)):
+        result = peer_codec.decode(corrupted, MAX_BYTES)
         assert result.is_error() or isinstance(result.ok, peer_codec.Frame)
 
 
 @fuzz
 @hypothesis.given(frames, st.data())
-def test_damaged_frames_give_a_frame_or_an_error(
+def test_corrupted_frames_decode_to_frame_or_error(
     frame: peer_codec.Frame, data: st.DataObject
 ) -> None:
     content = bytearray(zlib.decompress(peer_codec.encode(frame, MAX_BYTES)))
     for _ in range(data.draw(st.integers(1, 4))):
         index = data.draw(st.integers(0, len(content) - 1))
         content[index] = data.draw(st.integers(0, 255))
-    cut = data.draw(st.integers(0, len(content)))
-    for flat in (bytes(content), bytes(content[:cut])):
+    cut_at = data.draw(st.integers(0, len(content)))
+    for flat in (bytes(content), bytes(content[:cut_at])):
         result = peer_codec.decode(zlib.compress(flat), MAX_BYTES)
         assert result.is_error() or isinstance(result.ok, peer_codec.Frame)
 
 
-def test_a_message_does_not_inflate_past_the_limit() -> None:
-    """A small frame that inflates to a large message must not take memory.
+def test_decompressed_size_is_limited() -> None:
+    """A small frame must not exhaust memory by decompressing to a large one.
 
-    zlib writes a thousand zeros in a byte; whoever reaches the port could
-    send a frame of 1 MB that inflates to 1 GB.
+    zlib compresses about a thousand zeros into one byte; anyone who reaches
+    the port could send a frame of 1 MB that decompresses to 1 GB.
     """
     body = bytes(MAX_BYTES * peer_codec.MAX_INFLATION_FACTOR)
     frame = peer_codec.Frame(1, peers.Answer(known=True, body=body))
@@ -97,7 +97,7 @@
         peer_codec.encode(frame, MAX_BYTES // 2)
 
 
-def test_every_kind_has_its_number() -> None:
+def test_fact_kinds_keep_their_wire_numbers() -> None:
     assert [str(kind) for kind in peer_codec.KINDS] == [
         "node",
         "config",
--- a/tests/adapters/test_peer_link.py
+++ b/tests/adapters/test_peer_link.py
@@ -52,7 +52,7 @@
         await server.close()
 
 
-def test_calls_at_once_get_their_own_answers_on_few_connections() -> None:
+def test_concurrent_calls_get_their_own_replies() -> None:
     async def scenario() -> None:
         settings = peer_link.PeerLinkSettings()
         async with two_links(settings) as (client, server):
@@ -70,12 +70,12 @@
     asyncio.run(scenario())
 
 
-def test_late_answer_does_not_meet_a_later_call() -> None:
-    """A caller would get the answer to the question that timed out.
+def test_late_reply_is_not_delivered_to_later_call() -> None:
+    """Otherwise a caller would get the reply to a call that timed out.
 
-    The first call times out while the peer still works; its answer comes
-    afterwards. The second call must get its own: the connection of the
-    first is closed, never kept.
+    The first call times out while the peer is still working; its reply
+    arrives later. The second call must get its own reply: the connection of
+    the first is closed, never reused.
     """
 
     async def scenario() -> None:
@@ -93,7 +93,7 @@
     asyncio.run(scenario())
 
 
-def test_answer_with_another_call_number_is_refused() -> None:
+def test_reply_with_wrong_call_number_is_rejected() -> None:
     async def wrong_number(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
@@ -129,7 +129,7 @@
 @pytest.mark.parametrize(
     "address", ["127.0.0.1:1", "no-number:80", "nothing", "127.0.0.1:x"]
 )
-def test_nothing_sent_is_not_run(address: str) -> None:
+def test_failure_before_sending_is_not_run(address: str) -> None:
     async def scenario() -> None:
         async with two_links() as (client, _):
             result = await client.call(address, question(b""), 2.0)
@@ -155,10 +155,10 @@
 def test_link_recovers_after_a_fault(
     fault: Callable[[fault_proxy.FaultProxy], None],
 ) -> None:
-    """A fault on the way fails the call in time, as unknown, and no more.
+    """A network fault fails only the current call, in time and as unknown.
 
-    The first call warms a kept connection; the second meets the fault and
-    times out; the third goes over a new connection.
+    The first call leaves an idle connection; the second hits the fault and
+    times out; the third uses a new connection.
     """
 
     async def scenario() -> None:
@@ -177,7 +177,7 @@
     asyncio.run(scenario())
 
 
-def test_kept_connection_that_the_peer_closed_is_not_used() -> None:
+def test_idle_connection_closed_by_peer_is_not_reused() -> None:
     async def scenario() -> None:
         async with two_links() as (client, server):
             proxy = await fault_proxy.create_fault_proxy(server.address)
@@ -193,7 +193,7 @@
 
 
 async def send_raw(address: str, content: bytes) -> bytes:
-    """Sends bytes and returns what comes until the peer closes."""
+    """Sends bytes and returns what is received until the peer closes."""
     host, _, port = address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(content)
@@ -271,7 +271,7 @@
     asyncio.run(scenario())
 
 
-def test_message_over_the_frame_limit_is_the_senders_error() -> None:
+def test_message_over_frame_limit_raises_at_sender() -> None:
     async def scenario() -> None:
         async with two_links() as (client, server):
             big = question(random.Random(1).randbytes(5_000))
--- a/tests/adapters/test_platform_store.py
+++ b/tests/adapters/test_platform_store.py
@@ -42,7 +42,7 @@
     return stores.Write("t", key, value, if_revision)
 
 
-def test_rows_are_kept_exactly() -> None:
+def test_rows_are_stored_exactly() -> None:
     async def case(
         platform: server.PlatformServer,
         store: platform_store.PlatformTableStore,
@@ -105,14 +105,14 @@
         ),
     ],
 )
-def test_write_fails_as_far_as_known(
+def test_write_error_reflects_known_outcome(
     switch: faults.Switch,
     kind: type[errors.AlmondshiftError],
     took_effect: bool,
 ) -> None:
-    # The platform refuses a write, or takes it and its answer is lost or
-    # late. The caller sees unavailable only where nothing can have
-    # happened, because whoever hears that may try elsewhere.
+    # The platform refuses a write, or accepts it and its response is lost or
+    # late. The caller sees unavailable only if nothing can have taken effect,
+    # because it may then retry elsewhere.
     async def case(
         platform: server.PlatformServer,
         store: platform_store.PlatformTableStore,
@@ -129,8 +129,8 @@
 
 
 def test_refused_connection_means_that_nothing_was_written() -> None:
-    # Nobody listens at the platform's address. No byte left, so the caller
-    # may be told that nothing happened, for writes as for reads.
+    # Nothing listens at the platform's address. No byte was sent, so writes
+    # and reads alike are reported as not executed.
     async def case() -> None:
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
@@ -146,11 +146,11 @@
     asyncio.run(case())
 
 
-def test_write_is_not_sent_again_on_a_dead_connection() -> None:
-    # The platform takes a write and closes the kept connection unanswered.
-    # libcurl would send it again on its own, and the caller would see
-    # ConditionFailed for a write that took effect. With a connection for
-    # each write it is sent once and the outcome is reported as unknown.
+def test_write_is_not_retried_on_dead_connection() -> None:
+    # The platform applies a write and closes the reused connection without a
+    # response. libcurl would retry it by itself, and the caller would see
+    # ConditionFailed for a write that took effect. With a new connection per
+    # write it is sent once and the outcome is reported as unknown.
     async def case(
         platform: server.PlatformServer,
         store: platform_store.PlatformTableStore,
@@ -166,7 +166,7 @@
     run(case)
 
 
-def test_more_calls_than_slots_wait_their_turn() -> None:
+def test_calls_over_concurrency_limit_wait() -> None:
     async def case(
         platform: server.PlatformServer,
         store: platform_store.PlatformTableStore,
@@ -183,7 +183,7 @@
     run(case)
 
 
-def test_closed_store_refuses() -> None:
+def test_closed_store_rejects_calls() -> None:
     async def case(
         platform: server.PlatformServer,
         store: platform_store.PlatformTableStore,
--- a/tests/adapters/test_problems.py
+++ b/tests/adapters/test_problems.py
@@ -51,7 +51,7 @@
     assert b"secret path" not in problem.body
 
 
-def test_invalid_configuration_names_its_place() -> None:
+def test_invalid_configuration_names_section_and_key() -> None:
     error = errors.ConfigInvalid("Bad.", section="s", key="k", remedy="Mend.")
     described = problems.describe(error, "r")
     assert (described["section"], described["key"]) == ("s", "k")
--- a/tests/adapters/test_relay_settings.py
+++ b/tests/adapters/test_relay_settings.py
@@ -38,7 +38,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "named"),
+    ("change", "expected"),
     [
         (("name = n1", "name = "), "name"),
         (("name = n1", "nome = n1"), "nome"),
@@ -49,15 +49,15 @@
         (("[node]", "node"), "no section headers"),
     ],
 )
-def test_wrong_settings_name_the_key(
-    change: tuple[str, str], named: str
+def test_invalid_settings_name_the_key(
+    change: tuple[str, str], expected: str
 ) -> None:
     error = relay_settings.parse(TEXT.replace(*change)).error
-    assert named in str(error)
+    assert expected in str(error)
     assert "docs/settings.md" in error.remedy
 
 
-def test_the_template_names_known_keys_only() -> None:
+def test_template_contains_only_known_keys() -> None:
     text = (ROOT / "deploy" / "settings.ini").read_text()
     filled = [
         line.partition("=")[0] + "= 10.0.0.1:1"
@@ -81,8 +81,8 @@
     return logging.LogRecord("n", logging.INFO, "", 0, "x" * 500, None, None)
 
 
-def test_a_reader_that_stopped_does_not_block_the_node() -> None:
-    """All callers would wait for a log line that nobody reads."""
+def test_stalled_log_reader_does_not_block() -> None:
+    """Otherwise all callers would wait for a log line that nobody reads."""
     handler, _ = _handler(1e9)
     for _ in range(1000):
         handler.emit(_record())
@@ -109,7 +109,7 @@
         strategies.lists(LINES, max_size=20).map("\n".join),
     )
 )
-def test_no_settings_bring_a_fault(text: str) -> None:
-    """An operator's slip must be an error that names the remedy."""
+def test_arbitrary_settings_never_raise(text: str) -> None:
+    """An operator's mistake must result in an error with a remedy."""
     parsed = relay_settings.parse(text)
     assert parsed.is_ok() or parsed.error.remedy
--- a/tests/adapters/test_settings.py
+++ b/tests/adapters/test_settings.py
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "section", "key", "says"),
+    ("old", "new", "section", "key", "message"),
     [
         ("zone = zone-a", "", "node", "zone", "is missing"),
         ("zone =", "zones =", "node", "zones", "'zone'"),
@@ -43,12 +43,12 @@
         ("[node]", "[node]\nlog_level = loud", "node", "log_level", "'debug'"),
     ],
 )  # fmt: skip
-def test_faults_name_section_key_value_and_remedy(
-    old: str, new: str, section: str, key: str | None, says: str
+def test_errors_name_section_key_value_and_remedy(
+    old: str, new: str, section: str, key: str | None, message: str
 ) -> None:
     fault = settings.parse(samples.SETTINGS.replace(old, new, 1)).error
     assert (fault.section, fault.key) == (section, key)
-    assert says in str(fault)
+    assert message in str(fault)
 
 
 def test_files(tmp_path: pathlib.Path) -> None:
