--- a/src/almondshift/adapters/completion_body.py
+++ b/src/almondshift/adapters/completion_body.py
@@ -45,7 +45,7 @@
         return expression.Ok(CompletionBody.model_validate_json(body))
     except pydantic.ValidationError as error:
         first = error.errors(include_url=False, include_input=False)[0]
-        place = ".".join(str(part) for part in first["loc"]) or "body"
+        location = ".".join(str(part) for part in first["loc"]) or "body"
         return expression.Error(
-            errors.MalformedRequest(f"Field {place}: {first['msg']}.")
+            errors.MalformedRequest(f"Field {location}: {first['msg']}.")
         )
--- a/src/almondshift/adapters/fleet_checks.py
+++ b/src/almondshift/adapters/fleet_checks.py
@@ -13,23 +13,23 @@
     from collections.abc import Mapping
 
 
-def check(described: fleet.Fleet) -> None:
+def check(config: fleet.Fleet) -> None:
     """Rejects undefined names, cycles, layer gaps and duplicate keys.
 
     Raises:
         errors.ConfigInvalid: For the first error found.
     """
-    for service in described.services.values():
-        _check_service(service, described)
-    _check_cycles(described.services)
-    _check_accounts(described)
-    _check_pins(described)
+    for service in config.services.values():
+        _check_service(service, config)
+    _check_cycles(config.services)
+    _check_accounts(config)
+    _check_pins(config)
 
 
-def _check_service(service: fleet.Service, described: fleet.Fleet) -> None:
+def _check_service(service: fleet.Service, config: fleet.Fleet) -> None:
     section = f"service {service.name}"
     for name in service.depends_on:
-        _check_defined(section, "depends_on", name, described.services)
+        _check_defined(section, "depends_on", name, config.services)
     if service.kind is fleet.ServiceKind.PLAIN:
         _check_plain(section, service)
         return
@@ -40,8 +40,8 @@
             key="model",
             remedy="Name a [model NAME] section, or write kind = plain.",
         )
-    _check_defined(section, "model", service.model, described.models)
-    adapters = described.models[service.model].adapters
+    _check_defined(section, "model", service.model, config.models)
+    adapters = config.models[service.model].adapters
     if service.adapter:
         _check_defined(section, "adapter", service.adapter, adapters)
 
@@ -104,12 +104,12 @@
     return []
 
 
-def _check_accounts(described: fleet.Fleet) -> None:
+def _check_accounts(config: fleet.Fleet) -> None:
     owners: dict[str, str] = {}
-    for account in described.accounts.values():
+    for account in config.accounts.values():
         section = f"account {account.name}"
         for name in account.services:
-            _check_defined(section, "services", name, described.services)
+            _check_defined(section, "services", name, config.services)
         owner = owners.setdefault(account.key_hash, account.name)
         if owner != account.name:
             raise errors.ConfigInvalid(
@@ -120,15 +120,15 @@
             )
 
 
-def _check_pins(described: fleet.Fleet) -> None:
+def _check_pins(config: fleet.Fleet) -> None:
     by_model: dict[str, list[fleet.Pin]] = {}
-    for pin in described.pins:
+    for pin in config.pins:
         section = f"pin {pin.pattern}"
-        _check_defined(section, "model", pin.model, described.models)
-        _check_range(section, pin, described.models[pin.model].layers)
+        _check_defined(section, "model", pin.model, config.models)
+        _check_range(section, pin, config.models[pin.model].layers)
         by_model.setdefault(pin.model, []).append(pin)
     for model, pins in by_model.items():
-        _check_gaps(pins, described.models[model].layers)
+        _check_gaps(pins, config.models[model].layers)
 
 
 def _check_range(section: str, pin: fleet.Pin, layers: int) -> None:
--- a/src/almondshift/adapters/fleet_render.py
+++ b/src/almondshift/adapters/fleet_render.py
@@ -31,11 +31,11 @@
     new: str | None
 
 
-def render(described: fleet.Fleet) -> str:
+def render(config: fleet.Fleet) -> str:
     """Returns the text with every key, sorted; it parses to an equal fleet."""
     blocks = [
         "\n".join([f"[{title}]", *_lines(keys)])
-        for title, keys in describe(described).items()
+        for title, keys in describe(config).items()
     ]
     return "\n\n".join(blocks) + "\n"
 
@@ -50,30 +50,30 @@
     return changes + _order_changes(before, after)
 
 
-def describe(described: fleet.Fleet) -> Rendered:
+def describe(config: fleet.Fleet) -> Rendered:
     """Returns the values in INI form, by section title and key."""
     sections: Rendered = {
         "fleet": {
-            "name": described.name,
-            "body_limit_bytes": str(described.body_limit_bytes),
+            "name": config.name,
+            "body_limit_bytes": str(config.body_limit_bytes),
         }
     }
-    for _, model in sorted(described.models.items()):
+    for _, model in sorted(config.models.items()):
         sections[f"model {model.name}"] = _model(model)
-    for _, service in sorted(described.services.items()):
+    for _, service in sorted(config.services.items()):
         sections[f"service {service.name}"] = _service(service)
-    for rule in described.endpoint_rules:
+    for rule in config.endpoint_rules:
         sections[f"endpoint {rule.pattern}"] = {
             "checks_fencing": _yes_or_no(rule.checks_fencing)
         }
-    for pin in described.pins:
+    for pin in config.pins:
         sections[f"pin {pin.pattern}"] = {
             "model": pin.model,
             "layers": f"{pin.layers.start}-{pin.layers.end}",
         }
-    for link in sorted(described.links, key=_zones):
+    for link in sorted(config.links, key=_zones):
         sections[" ".join(("link", *_zones(link)))] = _link(link)
-    for _, account in sorted(described.accounts.items()):
+    for _, account in sorted(config.accounts.items()):
         sections[f"account {account.name}"] = _account(account)
     return sections
 
--- a/src/almondshift/adapters/fleet_text.py
+++ b/src/almondshift/adapters/fleet_text.py
@@ -39,7 +39,7 @@
 def _parse(text: str, version: int) -> fleet.Fleet:
     sections = [_build_section(section) for section in ini_sections.read(text)]
     fleet_section = _fleet_section(sections)
-    described = fleet.Fleet(
+    config = fleet.Fleet(
         version=version,
         name=fleet_section.name,
         models=_models(sections),
@@ -50,8 +50,8 @@
         body_limit_bytes=fleet_section.body_limit_bytes,
         pins=_pins(sections),
     )
-    fleet_checks.check(described)
-    return described
+    fleet_checks.check(config)
+    return config
 
 
 def _build_section(
@@ -80,7 +80,7 @@
     if fits and len(section.title) <= MAX_ARGUMENT_LENGTH:
         return
     raise errors.ConfigInvalid(
-        f"a section of this kind is written [{form}].",
+        f"the header of this section must be [{form}].",
         section=ini_sections.shorten(section.title),
         key=None,
         remedy=(
@@ -168,8 +168,8 @@
     )
 
 
-def _range(written: str) -> layers.LayerRange:
-    start, _, end = written.partition("-")
+def _range(layer_range: str) -> layers.LayerRange:
+    start, _, end = layer_range.partition("-")
     return layers.LayerRange(int(start), int(end))
 
 
--- a/src/almondshift/adapters/http_channels.py
+++ b/src/almondshift/adapters/http_channels.py
@@ -487,10 +487,10 @@
 
 def idle_seconds(head: AnswerHead | None) -> float:
     """Returns how long a connection may stay idle after a response."""
-    written = head.get("keep-alive") if head is not None else None
-    if not written:
+    header = head.get("keep-alive") if head is not None else None
+    if not header:
         return DEFAULT_IDLE_S
-    for part in written.split(","):
+    for part in header.split(","):
         name, _, value = part.strip().partition("=")
         if name.lower() == "timeout" and value.strip().isdecimal():
             return max(0.0, float(value) - IDLE_MARGIN_S)
--- a/src/almondshift/adapters/http_operations.py
+++ b/src/almondshift/adapters/http_operations.py
@@ -101,14 +101,16 @@
 
     def integer_argument(self, name: str) -> int | None:
         """Returns a query argument, or None if it was not sent."""
-        written = self.get_query_argument(name, None)
-        if written is None:
+        argument = self.get_query_argument(name, None)
+        if argument is None:
             return None
-        if not (written.isascii() and written.isdigit() and len(written) < 16):
+        if not (
+            argument.isascii() and argument.isdigit() and len(argument) < 16
+        ):
             raise errors.MalformedRequest(
                 f"The query argument {name} is not an integer."
             )
-        return int(written)
+        return int(argument)
 
     def _to_typed_error(
         self, status_code: int, raised: BaseException | None
@@ -193,8 +195,8 @@
         return ApplyBody.model_validate_json(body)
     except pydantic.ValidationError as error:
         fault = error.errors(include_url=False)[0]
-        place = ".".join(str(part) for part in fault["loc"]) or "body"
-        raise errors.MalformedRequest(f"{place}: {fault['msg']}.") from error
+        location = ".".join(str(part) for part in fault["loc"]) or "body"
+        raise errors.MalformedRequest(f"{location}: {fault['msg']}.") from error
 
 
 def _unwrap(result: Any) -> Any:
--- a/src/almondshift/adapters/ini_sections.py
+++ b/src/almondshift/adapters/ini_sections.py
@@ -48,8 +48,8 @@
     if not isinstance(value, str):
         return value
     items: dict[str, None] = {}
-    for written in value.split(","):
-        item = written.strip()
+    for part in value.split(","):
+        item = part.strip()
         if item in items:
             raise ValueError(f"names {shorten(item)} twice")
         if item:
--- a/src/almondshift/adapters/metrics.py
+++ b/src/almondshift/adapters/metrics.py
@@ -136,15 +136,15 @@
             registry=registry,
         )
 
-    def use(self, described: fleet.Fleet) -> None:
+    def use(self, config: fleet.Fleet) -> None:
         """Takes label names from a configuration; removes stale labels.
 
         The accounts with the largest weights get their own labels, up to
         ``MAX_ACCOUNT_LABELS``.
         """
-        services = frozenset(described.services)
+        services = frozenset(config.services)
         ranked = sorted(
-            described.accounts.values(), key=lambda a: (-a.weight, a.name)
+            config.accounts.values(), key=lambda a: (-a.weight, a.name)
         )
         accounts = frozenset(a.name for a in ranked[:MAX_ACCOUNT_LABELS])
         self._forget("service", self.services - services)
--- a/src/almondshift/adapters/problems.py
+++ b/src/almondshift/adapters/problems.py
@@ -57,14 +57,14 @@
         "request_id": request_id,
     }
     if error.retry_after_s is not None:
-        described["retry_after_s"] = whole_seconds(error.retry_after_s)
+        described["retry_after_s"] = round_up_seconds(error.retry_after_s)
     if isinstance(error, errors.ConfigInvalid):
         described["section"] = error.section
         described["key"] = error.key
     return described
 
 
-def whole_seconds(seconds: float) -> int:
+def round_up_seconds(seconds: float) -> int:
     """Rounds up to at least one, so that no caller retries too early."""
     if not seconds < MAX_RETRY_AFTER_S:
         return MAX_RETRY_AFTER_S
@@ -78,7 +78,7 @@
         REQUEST_ID_HEADER: request_id,
     }
     if error.retry_after_s is not None:
-        headers["Retry-After"] = str(whole_seconds(error.retry_after_s))
+        headers["Retry-After"] = str(round_up_seconds(error.retry_after_s))
     if error.status == UNAUTHORIZED:
         headers["WWW-Authenticate"] = "Bearer"
     return headers
--- a/src/almondshift/adapters/request_observer.py
+++ b/src/almondshift/adapters/request_observer.py
@@ -16,7 +16,7 @@
     from almondshift.node import objectives
     from almondshift.ports import clocks
 
-    NoteAnswer = Callable[[str, float, float], None]
+    CompletionCallback = Callable[[str, float, float], None]
 
 logger = logging.getLogger(__name__)
 
@@ -85,7 +85,7 @@
         if not self._end(metric_parts.OK):
             return
         self.observer.counts.record_whole(self.service, self.account)
-        self.observer.note_answer(self.service, self.tokens, self._elapsed_s())
+        self.observer.on_complete(self.service, self.tokens, self._elapsed_s())
         log_events.emit(
             logger,
             log_events.RequestAnswered(
@@ -164,7 +164,7 @@
 
     Attributes:
         in_flight: Requests that were accepted and have not ended.
-        note_answer: Called with the service, tokens and seconds of each
+        on_complete: Called with the service, tokens and seconds of each
             complete response.
     """
 
@@ -173,12 +173,12 @@
         metrics: metric_parts.Metrics,
         counts: objectives.ObjectiveCounts,
         clock: clocks.Clock,
-        note_answer: NoteAnswer,
+        on_complete: CompletionCallback,
     ) -> None:
         self.metrics = metrics
         self.counts = counts
         self.clock = clock
-        self.note_answer = note_answer
+        self.on_complete = on_complete
         self.in_flight = 0
 
     def begin(
@@ -206,7 +206,7 @@
     metrics: metric_parts.Metrics,
     counts: objectives.ObjectiveCounts,
     clock: clocks.Clock,
-    note_answer: NoteAnswer,
+    on_complete: CompletionCallback,
 ) -> RequestObserver:
     """Builds an observer."""
-    return RequestObserver(metrics, counts, clock, note_answer)
+    return RequestObserver(metrics, counts, clock, on_complete)
