--- a/src/almondshift/adapters/fleet_render.py
+++ b/src/almondshift/adapters/fleet_render.py
@@ -12,7 +12,7 @@
 
     from almondshift.model import fleet
 
-Described = dict[str, dict[str, str]]
+Rendered = dict[str, dict[str, str]]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -20,7 +20,7 @@
     """One difference between two versions.
 
     Attributes:
-        key: The key, or None if the whole section came or went.
+        key: The key, or None if the whole section was added or removed.
         old: The value before; None if there was none.
         new: The value after; None if there is none.
     """
@@ -31,17 +31,17 @@
     new: str | None
 
 
-def render(described: fleet.Fleet) -> str:
-    """Returns text with every key, sorted; parsing it gives the same."""
+def render(config: fleet.Fleet) -> str:
+    """Returns the text with every key, sorted; it parses to an equal fleet."""
     blocks = [
         "\n".join([f"[{title}]", *_lines(keys)])
-        for title, keys in describe(described).items()
+        for title, keys in describe(config).items()
     ]
     return "\n\n".join(blocks) + "\n"
 
 
 def diff(old: fleet.Fleet, new: fleet.Fleet) -> list[Change]:
-    """Returns what differs, by section and key, defaults filled in."""
+    """Returns the differences by section and key, with defaults filled in."""
     before = describe(old)
     after = describe(new)
     changes: list[Change] = []
@@ -50,30 +50,30 @@
     return changes + _order_changes(before, after)
 
 
-def describe(described: fleet.Fleet) -> Described:
-    """Returns the values as written, by section title and key."""
-    sections: Described = {
+def describe(config: fleet.Fleet) -> Rendered:
+    """Returns the values in INI form, by section title and key."""
+    sections: Rendered = {
         "fleet": {
-            "name": described.name,
-            "body_limit_bytes": str(described.body_limit_bytes),
+            "name": config.name,
+            "body_limit_bytes": str(config.body_limit_bytes),
         }
     }
-    for _, model in sorted(described.models.items()):
+    for _, model in sorted(config.models.items()):
         sections[f"model {model.name}"] = _model(model)
-    for _, service in sorted(described.services.items()):
+    for _, service in sorted(config.services.items()):
         sections[f"service {service.name}"] = _service(service)
-    for rule in described.endpoint_rules:
+    for rule in config.endpoint_rules:
         sections[f"endpoint {rule.pattern}"] = {
             "checks_fencing": _yes_or_no(rule.checks_fencing)
         }
-    for pin in described.pins:
+    for pin in config.pins:
         sections[f"pin {pin.pattern}"] = {
             "model": pin.model,
             "layers": f"{pin.layers.start}-{pin.layers.end}",
         }
-    for link in sorted(described.links, key=_zones):
+    for link in sorted(config.links, key=_zones):
         sections[" ".join(("link", *_zones(link)))] = _link(link)
-    for _, account in sorted(described.accounts.items()):
+    for _, account in sorted(config.accounts.items()):
         sections[f"account {account.name}"] = _account(account)
     return sections
 
@@ -149,7 +149,7 @@
 
 
 def _section_changes(
-    section: str, before: Described, after: Described
+    section: str, before: Rendered, after: Rendered
 ) -> list[Change]:
     if section not in before:
         return [Change(section, None, None, "added")]
@@ -164,8 +164,8 @@
     ]
 
 
-def _order_changes(before: Described, after: Described) -> list[Change]:
-    """The first matching endpoint section decides, so order counts."""
+def _order_changes(before: Rendered, after: Rendered) -> list[Change]:
+    """Compares the order: the first matching endpoint section applies."""
     old = [s for s in before if s.startswith("endpoint ") and s in after]
     new = [s for s in after if s.startswith("endpoint ") and s in before]
     if old == new:
--- a/src/almondshift/adapters/fleet_text.py
+++ b/src/almondshift/adapters/fleet_text.py
@@ -1,4 +1,4 @@
-"""Parses the operators' text into a fleet."""
+"""Parses the fleet configuration text."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 BYTES_PER_MEGABYTE = 1e6
 MAX_ARGUMENT_LENGTH = 200
 
-Built = list[tuple[ini_sections.Section, ini_sections.SectionModel]]
+Sections = list[tuple[ini_sections.Section, ini_sections.SectionModel]]
 
 
 def parse(
     text: str, version: int
 ) -> expression.Result[fleet.Fleet, errors.ConfigInvalid]:
-    """Validates a text whole; never raises, whatever the text.
+    """Parses and validates a whole text; never raises, whatever the text.
 
     Args:
         text: INI, at most ``ini_sections.MAX_TEXT_BYTES``.
         version: The version that the text was accepted as; 0 for a draft.
 
     Returns:
-        The fleet, or the first fault with its section, key and remedy.
+        The fleet, or the first error with its section, key and remedy.
     """
     try:
         return expression.Ok(_parse(text, version))
@@ -37,24 +37,24 @@
 
 
 def _parse(text: str, version: int) -> fleet.Fleet:
-    built = [_build(section) for section in ini_sections.read(text)]
-    head = _head(built)
-    described = fleet.Fleet(
+    sections = [_build_section(section) for section in ini_sections.read(text)]
+    fleet_section = _fleet_section(sections)
+    config = fleet.Fleet(
         version=version,
-        name=head.name,
-        models=_models(built),
-        services=_services(built),
-        endpoint_rules=_endpoint_rules(built),
-        links=_links(built),
-        accounts=_accounts(built),
-        body_limit_bytes=head.body_limit_bytes,
-        pins=_pins(built),
+        name=fleet_section.name,
+        models=_models(sections),
+        services=_services(sections),
+        endpoint_rules=_endpoint_rules(sections),
+        links=_links(sections),
+        accounts=_accounts(sections),
+        body_limit_bytes=fleet_section.body_limit_bytes,
+        pins=_pins(sections),
     )
-    fleet_checks.check(described)
-    return described
+    fleet_checks.check(config)
+    return config
 
 
-def _build(
+def _build_section(
     section: ini_sections.Section,
 ) -> tuple[ini_sections.Section, ini_sections.SectionModel]:
     model = fleet_sections.KINDS.get(section.kind)
@@ -63,7 +63,7 @@
             "is not a known kind of section.",
             section=ini_sections.shorten(section.title),
             key=None,
-            remedy=ini_sections.nearest(
+            remedy=ini_sections.suggest(
                 section.kind, list(fleet_sections.KINDS)
             ),
         )
@@ -80,7 +80,7 @@
     if fits and len(section.title) <= MAX_ARGUMENT_LENGTH:
         return
     raise errors.ConfigInvalid(
-        f"a section of this kind is written [{form}].",
+        f"the header of this section must be [{form}].",
         section=ini_sections.shorten(section.title),
         key=None,
         remedy=(
@@ -90,8 +90,8 @@
     )
 
 
-def _head(built: Built) -> fleet_sections.FleetSection:
-    for _, model in built:
+def _fleet_section(sections: Sections) -> fleet_sections.FleetSection:
+    for _, model in sections:
         if isinstance(model, fleet_sections.FleetSection):
             return model
     raise errors.ConfigInvalid(
@@ -102,7 +102,7 @@
     )
 
 
-def _models(built: Built) -> dict[str, fleet.Model]:
+def _models(sections: Sections) -> dict[str, fleet.Model]:
     return {
         section.arguments[0]: fleet.Model(
             name=section.arguments[0],
@@ -111,15 +111,15 @@
             adapters=model.adapters,
             layer_bytes=model.layer_bytes,
         )
-        for section, model in built
+        for section, model in sections
         if isinstance(model, fleet_sections.ModelSection)
     }
 
 
-def _services(built: Built) -> dict[str, fleet.Service]:
+def _services(sections: Sections) -> dict[str, fleet.Service]:
     return {
         section.arguments[0]: _service(section.arguments[0], model)
-        for section, model in built
+        for section, model in sections
         if isinstance(model, fleet_sections.ServiceSection)
     }
 
@@ -130,8 +130,8 @@
     kind = fleet.ServiceKind(section.kind)
     idempotent = section.idempotent
     if idempotent is None:
-        # Repeating a call that may not be repeated cannot be undone, so
-        # a plain service is repeated only where the operators say so.
+        # The effects of a repeated call can't be undone, so calls to a plain
+        # service are repeated only where the operators allow it.
         idempotent = kind is fleet.ServiceKind.MODEL
     return fleet.Service(
         name=name,
@@ -152,30 +152,30 @@
     )
 
 
-def _endpoint_rules(built: Built) -> tuple[fleet.EndpointRule, ...]:
+def _endpoint_rules(sections: Sections) -> tuple[fleet.EndpointRule, ...]:
     return tuple(
         fleet.EndpointRule(section.arguments[0], model.checks_fencing)
-        for section, model in built
+        for section, model in sections
         if isinstance(model, fleet_sections.EndpointSection)
     )
 
 
-def _pins(built: Built) -> tuple[fleet.Pin, ...]:
+def _pins(sections: Sections) -> tuple[fleet.Pin, ...]:
     return tuple(
         fleet.Pin(section.arguments[0], model.model, _range(model.layers))
-        for section, model in built
+        for section, model in sections
         if isinstance(model, fleet_sections.PinSection)
     )
 
 
-def _range(written: str) -> layers.LayerRange:
-    start, _, end = written.partition("-")
+def _range(layer_range: str) -> layers.LayerRange:
+    start, _, end = layer_range.partition("-")
     return layers.LayerRange(int(start), int(end))
 
 
-def _links(built: Built) -> tuple[fleet.Link, ...]:
+def _links(sections: Sections) -> tuple[fleet.Link, ...]:
     links: dict[frozenset[str], fleet.Link] = {}
-    for section, model in built:
+    for section, model in sections:
         if not isinstance(model, fleet_sections.LinkSection):
             continue
         zone_a, zone_b = section.arguments
@@ -187,15 +187,15 @@
         )
         if links.setdefault(frozenset((zone_a, zone_b)), link) is not link:
             raise errors.ConfigInvalid(
-                "this link is written twice.",
+                "this link is defined twice.",
                 section=section.title,
                 key=None,
-                remedy="Keep one; a link counts in both directions.",
+                remedy="Keep one; a link applies in both directions.",
             )
     return tuple(links.values())
 
 
-def _accounts(built: Built) -> dict[str, fleet.Account]:
+def _accounts(sections: Sections) -> dict[str, fleet.Account]:
     return {
         section.arguments[0]: fleet.Account(
             name=section.arguments[0],
@@ -204,6 +204,6 @@
             tokens_per_s=model.tokens_per_s,
             services=model.services,
         )
-        for section, model in built
+        for section, model in sections
         if isinstance(model, fleet_sections.AccountSection)
     }
--- a/src/almondshift/adapters/http_front/plain.py
+++ b/src/almondshift/adapters/http_front/plain.py
@@ -11,30 +11,30 @@
 
 
 class PlainHandler(base.BodyHandler):
-    """Passes a call on to a plain service."""
+    """Forwards calls to plain services."""
 
     async def get(self, name: str, path: str) -> None:
-        """Passes on a GET."""
-        await self._pass_on(name, path)
+        """Forwards a GET."""
+        await self._forward(name, path)
 
     async def post(self, name: str, path: str) -> None:
-        """Passes on a POST."""
-        await self._pass_on(name, path)
+        """Forwards a POST."""
+        await self._forward(name, path)
 
     async def put(self, name: str, path: str) -> None:
-        """Passes on a PUT."""
-        await self._pass_on(name, path)
+        """Forwards a PUT."""
+        await self._forward(name, path)
 
     async def delete(self, name: str, path: str) -> None:
-        """Passes on a DELETE."""
-        await self._pass_on(name, path)
+        """Forwards a DELETE."""
+        await self._forward(name, path)
 
-    async def _pass_on(self, name: str, path: str) -> None:
+    async def _forward(self, name: str, path: str) -> None:
         request = self._request(name, path)
-        wanted = gateway.Admission(
+        admission = gateway.Admission(
             request.request_id, request.service, 0, request.deadline
         )
-        await self.run_admitted(wanted, lambda: self._call(request))
+        await self.run_admitted(admission, lambda: self._call(request))
 
     async def _call(self, request: gateway.PlainRequest) -> None:
         match await self.node.call_plain(request):
@@ -74,7 +74,7 @@
         if found.kind is not fleet.ServiceKind.PLAIN:
             raise errors.UnknownService(
                 f"Service {name!r} is not a plain service.",
-                remedy="Call it by POST /v1/completions.",
+                remedy="Call it with POST /v1/completions.",
             )
         return found
 
--- a/src/almondshift/adapters/http_operations.py
+++ b/src/almondshift/adapters/http_operations.py
@@ -1,8 +1,8 @@
-"""Operators' calls over HTTP, on top of ``ports.operations``.
+"""The operators' HTTP API, on top of ``ports.operations``.
 
 ``GET /v1/admin/config[?version=N]``, ``POST /v1/admin/config``,
 ``GET /v1/admin/config/history?limit=N``, ``GET /v1/admin/status`` and
-``GET /v1/admin/burn``. All are JSON, and need the operators' secret.
+``GET /v1/admin/burn``. All use JSON and require the operators' secret.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
 
 
 class OperatorHandler(tornado.web.RequestHandler):
-    """The base: checks the secret, and renders errors."""
+    """Base class that checks the secret and renders errors."""
 
     calls: operations.Operations
     secret: keys.Secret
@@ -54,12 +54,12 @@
     def initialize(
         self, operations: operations.Operations, secret: keys.Secret
     ) -> None:
-        """Takes what tornado passes from the routes."""
+        """Stores the arguments that tornado passes from the routes."""
         self.calls = operations
         self.secret = secret
 
     def prepare(self) -> None:
-        """Refuses a request without the operators' secret."""
+        """Rejects a request without the operators' secret."""
         self.request_id = request_id_of(self.request.headers)
         self.set_header(problems.REQUEST_ID_HEADER, self.request_id)
         header = self.request.headers.get("Authorization", "")
@@ -76,9 +76,9 @@
             )
 
     def write_error(self, status_code: int, **kwargs: Any) -> None:
-        """Renders what a handler raised, without a traceback."""
+        """Renders an exception of a handler, without a traceback."""
         raised = kwargs.get("exc_info", (None, None, None))[1]
-        error = self._typed(status_code, raised)
+        error = self._to_typed_error(status_code, raised)
         problem = problems.render(error, self.request_id)
         self.set_status(problem.status)
         for name, value in problem.headers.items():
@@ -86,37 +86,39 @@
         self.finish(problem.body)
 
     def log_exception(self, typ: Any, value: Any, tb: Any) -> None:
-        """Logs only faults of this program; callers see typed errors."""
+        """Logs only unexpected exceptions; callers receive typed errors."""
         known = (errors.AlmondshiftError, tornado.web.HTTPError)
         if isinstance(value, known):
             return
         fault = log_events.RequestFault(self.request_id, repr(value))
         log_events.emit(logger, fault)
 
-    def answer(self, value: Any) -> None:
+    def send_json(self, value: Any) -> None:
         """Sends a JSON value."""
         self.set_header("Content-Type", "application/json")
         self.set_header("Cache-Control", "no-store")
         self.finish(json.dumps(value))
 
-    def whole_number(self, name: str) -> int | None:
+    def integer_argument(self, name: str) -> int | None:
         """Returns a query argument, or None if it was not sent."""
-        written = self.get_query_argument(name, None)
-        if written is None:
+        argument = self.get_query_argument(name, None)
+        if argument is None:
             return None
-        if not (written.isascii() and written.isdigit() and len(written) < 16):
+        if not (
+            argument.isascii() and argument.isdigit() and len(argument) < 16
+        ):
             raise errors.MalformedRequest(
-                f"The query argument {name} is not a whole number."
+                f"The query argument {name} is not an integer."
             )
-        return int(written)
+        return int(argument)
 
-    def _typed(
+    def _to_typed_error(
         self, status_code: int, raised: BaseException | None
     ) -> BaseException:
         if isinstance(raised, tornado.web.HTTPError):
             return errors.MalformedRequest(
                 f"The request was refused with status {status_code}.",
-                remedy="See the operators' page for the calls there are.",
+                remedy="See the operators' page for the available calls.",
             )
         return raised or RuntimeError(problems.INTERNAL_DETAIL)
 
@@ -125,18 +127,18 @@
     """``/v1/admin/config``."""
 
     async def get(self) -> None:
-        """Sends a version, or the one in force here."""
-        version = self.whole_number("version")
+        """Sends the requested version, or the one active on this node."""
+        version = self.integer_argument("version")
         shown = await self.calls.show_config(version)
-        self.answer(dataclasses.asdict(_value(shown)))
+        self.send_json(dataclasses.asdict(_unwrap(shown)))
 
     async def post(self) -> None:
-        """Proposes a text."""
+        """Proposes a configuration text."""
         body = _parse_body(self.request.body)
         applied = await self.calls.apply_config(
             body.text, body.base, body.change_id, body.author
         )
-        self.answer(dataclasses.asdict(_value(applied)))
+        self.send_json(dataclasses.asdict(_unwrap(applied)))
 
 
 class HistoryHandler(OperatorHandler):
@@ -144,10 +146,10 @@
 
     async def get(self) -> None:
         """Sends accepted versions, newest first."""
-        limit = self.whole_number("limit") or DEFAULT_LIMIT
+        limit = self.integer_argument("limit") or DEFAULT_LIMIT
         found = await self.calls.config_history(min(limit, MAX_LIMIT))
-        versions = [dataclasses.asdict(v) for v in _value(found)]
-        self.answer({"versions": versions})
+        versions = [dataclasses.asdict(v) for v in _unwrap(found)]
+        self.send_json({"versions": versions})
 
 
 class StatusHandler(OperatorHandler):
@@ -155,27 +157,27 @@
 
     def get(self) -> None:
         """Sends this node's state."""
-        self.answer(self.calls.status())
+        self.send_json(self.calls.status())
 
 
 class BurnHandler(OperatorHandler):
     """``/v1/admin/burn``."""
 
     def get(self) -> None:
-        """Sends this node's counts of objectives met and missed."""
-        self.answer(self.calls.objective_counts())
+        """Sends this node's counts of met and missed objectives."""
+        self.send_json(self.calls.objective_counts())
 
 
 def create_routes(
     operations: operations.Operations, secret: keys.Secret
 ) -> list[Any]:
     """Returns routes for a ``tornado.web.Application``."""
-    given = {"operations": operations, "secret": secret}
+    handler_args = {"operations": operations, "secret": secret}
     return [
-        (r"/v1/admin/config", ConfigHandler, given),
-        (r"/v1/admin/config/history", HistoryHandler, given),
-        (r"/v1/admin/status", StatusHandler, given),
-        (r"/v1/admin/burn", BurnHandler, given),
+        (r"/v1/admin/config", ConfigHandler, handler_args),
+        (r"/v1/admin/config/history", HistoryHandler, handler_args),
+        (r"/v1/admin/status", StatusHandler, handler_args),
+        (r"/v1/admin/burn", BurnHandler, handler_args),
     ]
 
 
@@ -193,11 +195,11 @@
         return ApplyBody.model_validate_json(body)
     except pydantic.ValidationError as error:
         fault = error.errors(include_url=False)[0]
-        place = ".".join(str(part) for part in fault["loc"]) or "body"
-        raise errors.MalformedRequest(f"{place}: {fault['msg']}.") from error
+        location = ".".join(str(part) for part in fault["loc"]) or "body"
+        raise errors.MalformedRequest(f"{location}: {fault['msg']}.") from error
 
 
-def _value(result: Any) -> Any:
+def _unwrap(result: Any) -> Any:
     if result.is_ok():
         return result.ok
     raise result.error
--- a/src/almondshift/adapters/http_operations_client.py
+++ b/src/almondshift/adapters/http_operations_client.py
@@ -1,4 +1,4 @@
-"""Operators' calls to a node over HTTP."""
+"""Client of a node's HTTP API for operators."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 CONNECT_TIMEOUT_S = 2.0
 READ_TIMEOUT_S = 10.0
 MAX_CLIENTS = 64
-MAX_ANSWER_BYTES = 64_000_000
+MAX_RESPONSE_BYTES = 64_000_000
 OK = 200
 
 _VERSION = pydantic.TypeAdapter(operations.ConfigVersion)
@@ -34,27 +34,27 @@
 
 
 class NodeUnreachable(errors.Refusal):
-    """No call was sent to the node, or a read was not answered."""
+    """No call was sent to the node, or a read got no response."""
 
     kind = "node_unreachable"
     status = 502
-    default_remedy = "Check the address, or name another with --node."
+    default_remedy = "Check the address, or use another node with --node."
 
 
 class NodeOutcomeUnknown(errors.AlmondshiftError):
-    """The call was sent to the node and no whole answer came back."""
+    """The call was sent to the node but no complete response came back."""
 
     kind = "node_outcome_unknown"
     status = 502
     default_execution = errors.Execution.UNKNOWN
-    default_remedy = "Look with 'almondshift config history' before repeating."
+    default_remedy = "Check 'almondshift config history' before retrying."
 
 
 class NodeError(errors.AlmondshiftError):
     """An error that the node reported.
 
     Attributes:
-        reported: The kind that the node gave.
+        reported: The kind of error that the node reported.
     """
 
     kind = "node_error"
@@ -78,7 +78,7 @@
 
 
 class NodeClient:
-    """Calls nodes; an address is given with each call."""
+    """Calls nodes; each call names the node's address."""
 
     def __init__(
         self, secret: keys.Secret, read_timeout_s: float = READ_TIMEOUT_S
@@ -88,7 +88,7 @@
         self.http = tornado.simple_httpclient.SimpleAsyncHTTPClient(
             force_instance=True,
             max_clients=MAX_CLIENTS,
-            max_buffer_size=MAX_ANSWER_BYTES,
+            max_buffer_size=MAX_RESPONSE_BYTES,
         )
 
     def close(self) -> None:
@@ -98,7 +98,7 @@
     async def apply(
         self, node: str, text: str, base: int, change_id: str, author: str
     ) -> expression.Result[operations.ConfigVersion, errors.AlmondshiftError]:
-        """Proposes a text; never sent twice."""
+        """Proposes a configuration text; never sent twice."""
         body = {
             "text": text,
             "base": base,
@@ -106,17 +106,17 @@
             "author": author,
         }
         answer = await self._call(node, "POST", "/v1/admin/config", body)
-        return answer.bind(_reader(_VERSION.validate_python))
+        return answer.bind(_validate_with(_VERSION.validate_python))
 
     async def show(
         self, node: str, version: int | None
     ) -> expression.Result[operations.ConfigVersion, errors.AlmondshiftError]:
-        """Returns a version, or with None the one in force at the node."""
+        """Returns a version, or with None the one active on the node."""
         path = "/v1/admin/config"
         if version is not None:
             path += "?" + urllib.parse.urlencode({"version": version})
         answer = await self._call(node, "GET", path)
-        return answer.bind(_reader(_VERSION.validate_python))
+        return answer.bind(_validate_with(_VERSION.validate_python))
 
     async def history(
         self, node: str, limit: int
@@ -127,7 +127,7 @@
         path = f"/v1/admin/config/history?limit={limit}"
         answer = await self._call(node, "GET", path)
         return answer.bind(
-            _reader(lambda v: _VERSIONS.validate_python(v["versions"]))
+            _validate_with(lambda v: _VERSIONS.validate_python(v["versions"]))
         )
 
     async def status(
@@ -139,9 +139,9 @@
     async def burn(
         self, node: str
     ) -> expression.Result[burn.Snapshot, errors.AlmondshiftError]:
-        """Returns the node's counts of objectives met and missed."""
+        """Returns the node's counts of met and missed objectives."""
         answer = await self._call(node, "GET", "/v1/admin/burn")
-        return answer.bind(_reader(_SNAPSHOT.validate_python))
+        return answer.bind(_validate_with(_SNAPSHOT.validate_python))
 
     async def _call(
         self,
@@ -150,15 +150,15 @@
         path: str,
         body: dict[str, Any] | None = None,
     ) -> expression.Result[dict[str, Any], errors.AlmondshiftError]:
-        unreachable = await _try_connecting(node)
+        unreachable = await _check_reachable(node)
         if unreachable is not None:
             return expression.Error(unreachable)
         try:
             request = self._request(node, method, path, body)
             answer = await self.http.fetch(request, raise_error=False)
         except (OSError, tornado.httpclient.HTTPError) as error:
-            return expression.Error(_no_answer(node, method, error))
-        return _read_answer(node, method, answer)
+            return expression.Error(_no_response_error(node, method, error))
+        return _read_response(node, method, answer)
 
     def _request(
         self, node: str, method: str, path: str, body: dict[str, Any] | None
@@ -182,12 +182,12 @@
     return NodeClient(secret)
 
 
-async def _try_connecting(node: str) -> NodeUnreachable | None:
-    """Finds a node that cannot be reached before anything is sent to it.
+async def _check_reachable(node: str) -> NodeUnreachable | None:
+    """Detects an unreachable node before anything is sent to it.
 
-    tornado's client gives the same error for a connection that was not made
-    and for one that broke later; of an apply that was surely not sent, the
-    operator need not ask whether it took effect.
+    tornado's client raises the same error for a failed connection attempt and
+    for a connection that broke later. If an apply is known not to have been
+    sent, the operator need not check whether it took effect.
     """
     host, _, port = node.rpartition(":")
     if not host or not (port.isascii() and port.isdigit()):
@@ -202,31 +202,31 @@
     return None
 
 
-def _no_answer(
+def _no_response_error(
     node: str, method: str, error: BaseException
 ) -> errors.AlmondshiftError:
-    detail = f"Node {node} gave no whole answer: {error}."
+    detail = f"Node {node} returned no complete response: {error}."
     if method == "GET":
         return NodeUnreachable(detail)
     return NodeOutcomeUnknown(detail)
 
 
-def _read_answer(
+def _read_response(
     node: str, method: str, answer: tornado.httpclient.HTTPResponse
 ) -> expression.Result[dict[str, Any], errors.AlmondshiftError]:
     try:
         value = json.loads(answer.body)
     except ValueError as error:
-        return expression.Error(_no_answer(node, method, error))
+        return expression.Error(_no_response_error(node, method, error))
     if not isinstance(value, dict):
-        fault = ValueError("the answer is not a JSON object")
-        return expression.Error(_no_answer(node, method, fault))
+        fault = ValueError("the response is not a JSON object")
+        return expression.Error(_no_response_error(node, method, fault))
     if answer.code != OK:
-        return expression.Error(_reported(value))
+        return expression.Error(_node_error(value))
     return expression.Ok(value)
 
 
-def _reported(value: dict[str, Any]) -> NodeError:
+def _node_error(value: dict[str, Any]) -> NodeError:
     execution = value.get("execution")
     known = set(errors.Execution)
     retry_after_s = value.get("retry_after_s")
@@ -243,16 +243,16 @@
     )
 
 
-def _reader(read: Callable[[Any], Any]) -> Callable[[Any], Any]:
-    def reading(value: Any) -> Any:
+def _validate_with(read: Callable[[Any], Any]) -> Callable[[Any], Any]:
+    def validate(value: Any) -> Any:
         try:
             return expression.Ok(read(value))
         except (pydantic.ValidationError, KeyError) as error:
             return expression.Error(
                 NodeOutcomeUnknown(
-                    f"The node's answer has another form: {error}",
-                    remedy="Use the command of the nodes' release.",
+                    f"The node's response has an unexpected format: {error}",
+                    remedy="Use the command-line tool of the nodes' release.",
                 )
             )
 
-    return reading
+    return validate
--- a/src/almondshift/adapters/http_plain_service.py
+++ b/src/almondshift/adapters/http_plain_service.py
@@ -24,14 +24,14 @@
 
     def __init__(self, client: curl_calls.CurlClient) -> None:
         self.client = client
-        self.waiting: set[asyncio.Future[curl_calls.CallResult]] = set()
+        self.in_flight: set[asyncio.Future[curl_calls.CallResult]] = set()
 
     async def start(self) -> None:
-        """Makes calls possible."""
+        """Starts the HTTP client."""
         self.client.start()
 
     async def close(self) -> None:
-        """Closes connections; calls in flight fail as unknown."""
+        """Closes connections; calls in flight end with an unknown outcome."""
         self.client.close()
 
     async def call(
@@ -39,19 +39,20 @@
     ) -> expression.Result[
         plain_services.PlainAnswer, plain_services.PlainError
     ]:
-        """Sends one call, once; never follows redirects or resends."""
-        sent = await self.client.send(build_call(address, call), self.waiting)
-        if sent.is_error():
-            return expression.Error(sent.error)
-        return read_reply(address, sent.ok)
+        """Sends one call, once; never retries or follows redirects."""
+        result = await self.client.send(
+            build_call(address, call), self.in_flight
+        )
+        if result.is_error():
+            return expression.Error(result.error)
+        return read_response(address, result.ok)
 
 
 def build_call(address: str, call: plain_services.PlainCall) -> curl_calls.Call:
     """Builds the HTTP call.
 
-    A call that may not be repeated gets a connection of its own: libcurl
-    sends again only after a kept connection turned out dead, and without a
-    kept connection there is nothing to send again after.
+    A call that must not be repeated gets a new connection: libcurl retries
+    only after a reused connection turned out to be dead.
     """
     has_body = bool(call.body) or call.method in BODY_METHODS
     headers = {"X-Request-Id": call.request_id, "X-Attempt-Id": call.attempt}
@@ -68,16 +69,16 @@
     )
 
 
-def read_reply(
-    address: str, reply: curl_calls.Reply
+def read_response(
+    address: str, response: curl_calls.Response
 ) -> expression.Result[plain_services.PlainAnswer, plain_services.PlainError]:
-    """Tells an answer of the service from a refusal before running."""
-    if reply.status == UNAVAILABLE and NOT_RUN_HEADER in reply.headers:
+    """Distinguishes a service's response from a refusal to run the call."""
+    if response.status == UNAVAILABLE and NOT_RUN_HEADER in response.headers:
         detail = f"{address} refused before running the call."
         return expression.Error(errors.EndpointRefused(detail))
-    content_type = reply.headers.get("Content-Type", DEFAULT_CONTENT_TYPE)
+    content_type = response.headers.get("Content-Type", DEFAULT_CONTENT_TYPE)
     return expression.Ok(
-        plain_services.PlainAnswer(reply.status, content_type, reply.body)
+        plain_services.PlainAnswer(response.status, content_type, response.body)
     )
 
 
@@ -88,7 +89,7 @@
 
     Args:
         max_connections: Calls in flight to all endpoints together.
-        connect_timeout_s: Time to connect before a call is given up unsent.
+        connect_timeout_s: Time to connect before a call fails as not sent.
     """
     client = curl_calls.CurlClient(max_connections, connect_timeout_s)
     return HttpPlainService(client)
--- a/src/almondshift/adapters/platform_store.py
+++ b/src/almondshift/adapters/platform_store.py
@@ -37,21 +37,21 @@
         return None
 
 
-def _unreadable() -> errors.StoreUnavailable:
+def _undecodable_error() -> errors.StoreUnavailable:
     return errors.StoreUnavailable(
-        "The platform's answer could not be decoded.",
-        remedy="Check that the platform address is that of the platform.",
+        "The platform's response could not be decoded.",
+        remedy="Check that the configured platform address is correct.",
     )
 
 
 class PlatformTableStore(stores.TableStore):
-    """The transactional table; never sends a write twice by itself."""
+    """The transactional table; never retries a write by itself."""
 
     def __init__(self, client: platform_client.PlatformClient) -> None:
         self.client = client
 
     async def start(self) -> None:
-        """Makes calls possible."""
+        """Starts the HTTP client."""
         await self.client.start()
 
     async def close(self) -> None:
@@ -69,7 +69,7 @@
             return expression.Ok(None)
         row = _decode(answer.ok.body, platform_messages.RowBody)
         if row is None:
-            return expression.Error(_unreadable())
+            return expression.Error(_undecodable_error())
         return expression.Ok(
             stores.Row(table, row.key, row.value, row.revision)
         )
@@ -77,7 +77,7 @@
     async def scan(
         self, table: str, prefix: str, limit: int
     ) -> expression.Result[list[stores.Row], stores.StoreError]:
-        """Reads up to ``limit`` rows by key order below a prefix."""
+        """Reads up to ``limit`` rows with a key prefix, in key order."""
         query = parse.urlencode({"prefix": prefix, "limit": limit})
         path = f"/v1/tables/{_quote(table)}/rows?{query}"
         answer = await self.client.read(path)
@@ -85,7 +85,7 @@
             return expression.Error(answer.error)
         found = _decode(answer.ok.body, platform_messages.RowsBody)
         if found is None:
-            return expression.Error(_unreadable())
+            return expression.Error(_undecodable_error())
         rows = [
             stores.Row(table, row.key, row.value, row.revision)
             for row in found.rows
@@ -95,7 +95,7 @@
     async def transact(
         self, writes: list[stores.Write]
     ) -> expression.Result[list[int], stores.StoreError]:
-        """Applies all writes or none; see the port for the errors."""
+        """Applies all writes or none; ``stores.TableStore`` has the errors."""
         bodies = [
             platform_messages.WriteBody(
                 write.table, write.key, write.value, write.if_revision
@@ -110,7 +110,7 @@
         if done is None or len(done.revisions) != len(writes):
             return expression.Error(
                 errors.StoreOutcomeUnknown(
-                    "The platform's answer to a write could not be decoded."
+                    "The platform's response to a write could not be decoded."
                 )
             )
         return expression.Ok(done.revisions)
@@ -123,7 +123,7 @@
         self.client = client
 
     async def start(self) -> None:
-        """Makes calls possible."""
+        """Starts the HTTP client."""
         await self.client.start()
 
     async def close(self) -> None:
@@ -144,7 +144,7 @@
     async def put(
         self, key: str, content: bytes
     ) -> expression.Result[None, stores.StoreError]:
-        """Writes an object whole."""
+        """Writes a complete object."""
         path = f"/v1/objects/{_quote(key)}"
         answer = await self.client.write("PUT", path, content)
         if answer.is_error():
@@ -159,7 +159,7 @@
         self.client = client
 
     async def start(self) -> None:
-        """Makes calls possible."""
+        """Starts the HTTP client."""
         await self.client.start()
 
     async def close(self) -> None:
@@ -182,7 +182,7 @@
             )
         found = _decode(answer.ok.body, platform_messages.VmsBody)
         if found is None:
-            return expression.Error(_unreadable())
+            return expression.Error(_undecodable_error())
         return expression.Ok([_vm(body) for body in found.vms])
 
 
--- a/src/almondshift/adapters/request_observer.py
+++ b/src/almondshift/adapters/request_observer.py
@@ -1,4 +1,4 @@
-"""Records what happens to requests: metrics, objectives and log events."""
+"""Records requests in metrics, objective counts and log events."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
     from almondshift.node import objectives
     from almondshift.ports import clocks
 
-    NoteAnswer = Callable[[str, float, float], None]
+    CompletionCallback = Callable[[str, float, float], None]
 
 logger = logging.getLogger(__name__)
 
-CALLERS_OWN = (
+EXCLUDED_FROM_OBJECTIVES = (
     errors.MalformedRequest,
     errors.IdempotencyKeyRequired,
     errors.IdempotencyKeyReused,
@@ -32,7 +32,7 @@
     errors.AccountLimited,
     errors.Quarantined,
 )
-"""Refusals that the system's objectives do not answer for."""
+"""Refusals that do not count against the service objectives."""
 
 
 class RequestRecord:
@@ -56,13 +56,13 @@
         self.service = service
         self.arrived = arrived
         self.tokens = 0
-        self._last = arrived
+        self._last_token_at = arrived
         self._ended = False
 
     def token(self) -> None:
-        """Notes a token on its way to the caller."""
+        """Records a token that is sent to the caller."""
         now = self.observer.clock.monotonic()
-        seconds = now - self._last
+        seconds = now - self._last_token_at
         if self.tokens == 0:
             self.observer.metrics.first_token(self.service, seconds)
             self.observer.counts.record_first_token(
@@ -74,18 +74,18 @@
                 self.service, self.account, seconds
             )
         self.tokens += 1
-        self._last = now
+        self._last_token_at = now
 
     def answered(
         self, recoveries: tuple[completions.Recovery, ...] = ()
     ) -> None:
-        """Notes the end of a whole answer."""
+        """Records a complete response."""
         for recovery in recoveries:
             self._recovered(recovery)
         if not self._end(metric_parts.OK):
             return
         self.observer.counts.record_whole(self.service, self.account)
-        self.observer.note_answer(self.service, self.tokens, self._seconds())
+        self.observer.on_complete(self.service, self.tokens, self._elapsed_s())
         log_events.emit(
             logger,
             log_events.RequestAnswered(
@@ -93,18 +93,18 @@
                 account=self.account,
                 service=self.service,
                 tokens=self.tokens,
-                seconds=round(self._seconds(), 4),
+                seconds=round(self._elapsed_s(), 4),
                 recoveries=len(recoveries),
             ),
         )
 
     def failed(self, error: errors.AlmondshiftError) -> None:
-        """Notes a final answer that is not whole."""
+        """Records a request that ended with an error."""
         if not self._end(error.kind):
             return
-        seconds = self._seconds()
+        seconds = self._elapsed_s()
         self.observer.metrics.request_refused(error.kind, seconds)
-        if not isinstance(error, CALLERS_OWN):
+        if not isinstance(error, EXCLUDED_FROM_OBJECTIVES):
             self.observer.counts.record_whole(
                 self.service, self.account, error.kind
             )
@@ -121,7 +121,7 @@
         )
 
     def abandoned(self) -> None:
-        """Notes that the caller went away before the end."""
+        """Records that the caller disconnected before the end."""
         if not self._end(metric_parts.ABANDONED):
             return
         log_events.emit(
@@ -142,7 +142,7 @@
         self.observer.end(self.service, self.account, kind)
         return True
 
-    def _seconds(self) -> float:
+    def _elapsed_s(self) -> float:
         return self.observer.clock.monotonic() - self.arrived
 
     def _recovered(self, recovery: completions.Recovery) -> None:
@@ -160,12 +160,12 @@
 
 
 class RequestObserver:
-    """Makes records, and counts those that are open.
+    """Creates request records and counts the open ones.
 
     Attributes:
-        in_flight: Requests that were taken and have not ended.
-        note_answer: Called with the service, tokens and seconds of each
-            whole answer.
+        in_flight: Requests that were accepted and have not ended.
+        on_complete: Called with the service, tokens and seconds of each
+            complete response.
     """
 
     def __init__(
@@ -173,12 +173,12 @@
         metrics: metric_parts.Metrics,
         counts: objectives.ObjectiveCounts,
         clock: clocks.Clock,
-        note_answer: NoteAnswer,
+        on_complete: CompletionCallback,
     ) -> None:
         self.metrics = metrics
         self.counts = counts
         self.clock = clock
-        self.note_answer = note_answer
+        self.on_complete = on_complete
         self.in_flight = 0
 
     def begin(
@@ -206,7 +206,7 @@
     metrics: metric_parts.Metrics,
     counts: objectives.ObjectiveCounts,
     clock: clocks.Clock,
-    note_answer: NoteAnswer,
+    on_complete: CompletionCallback,
 ) -> RequestObserver:
     """Builds an observer."""
-    return RequestObserver(metrics, counts, clock, note_answer)
+    return RequestObserver(metrics, counts, clock, on_complete)
--- a/tests/adapters/test_peer_link.py
+++ b/tests/adapters/test_peer_link.py
@@ -22,7 +22,7 @@
 
 SECRET = "secret"
 SMALL = peer_link.PeerLinkSettings(
-    max_frame_bytes=4_096, max_connections=3, frame_s=0.3
+    max_frame_bytes=4_096, max_connections=3, frame_timeout_s=0.3
 )
 
 
@@ -52,7 +52,7 @@
         await server.close()
 
 
-def test_calls_at_once_get_their_own_answers_on_few_connections() -> None:
+def test_concurrent_calls_get_their_own_replies() -> None:
     async def scenario() -> None:
         settings = peer_link.PeerLinkSettings()
         async with two_links(settings) as (client, server):
@@ -64,18 +64,18 @@
                 )
             )
             assert [a.ok.body for a in answers] == bodies  # type: ignore[union-attr]
-            assert len(client.kept) == settings.kept_per_peer
-            assert not client.busy
+            assert len(client.idle_streams) == settings.max_idle_per_peer
+            assert not client.active_streams
 
     asyncio.run(scenario())
 
 
-def test_late_answer_does_not_meet_a_later_call() -> None:
-    """A caller would get the answer to the question that timed out.
+def test_late_reply_is_not_delivered_to_later_call() -> None:
+    """Otherwise a caller would get the reply to a call that timed out.
 
-    The first call times out while the peer still works; its answer comes
-    afterwards. The second call must get its own: the connection of the
-    first is closed, never kept.
+    The first call times out while the peer is still working; its reply
+    arrives later. The second call must get its own reply: the connection of
+    the first is closed, never reused.
     """
 
     async def scenario() -> None:
@@ -84,7 +84,7 @@
                 server.address, question(b"first", "slow"), 0.1
             )
             assert late.error.execution is errors.Execution.UNKNOWN
-            assert not client.kept
+            assert not client.idle_streams
             answer = await client.call(
                 server.address, question(b"second", "slow"), 5.0
             )
@@ -93,7 +93,7 @@
     asyncio.run(scenario())
 
 
-def test_answer_with_another_call_number_is_refused() -> None:
+def test_reply_with_wrong_call_number_is_rejected() -> None:
     async def wrong_number(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
@@ -108,8 +108,8 @@
         async with two_links() as (client, _):
             address = f"127.0.0.1:{port}"
             result = await client.call(address, question(b""), 5.0)
-            assert "makes no sense" in result.error.detail
-            assert not client.kept
+            assert "sent an invalid reply" in result.error.detail
+            assert not client.idle_streams
         server.close()
 
     asyncio.run(scenario())
@@ -129,12 +129,12 @@
 @pytest.mark.parametrize(
     "address", ["127.0.0.1:1", "no-number:80", "nothing", "127.0.0.1:x"]
 )
-def test_nothing_sent_is_not_run(address: str) -> None:
+def test_failure_before_sending_is_not_run(address: str) -> None:
     async def scenario() -> None:
         async with two_links() as (client, _):
             result = await client.call(address, question(b""), 2.0)
             assert result.error.execution is errors.Execution.NOT_RUN
-            assert not client.busy
+            assert not client.active_streams
 
     asyncio.run(scenario())
 
@@ -155,10 +155,10 @@
 def test_link_recovers_after_a_fault(
     fault: Callable[[fault_proxy.FaultProxy], None],
 ) -> None:
-    """A fault on the way fails the call in time, as unknown, and no more.
+    """A network fault fails only the current call, in time and as unknown.
 
-    The first call warms a kept connection; the second meets the fault and
-    times out; the third goes over a new connection.
+    The first call leaves an idle connection; the second hits the fault and
+    times out; the third uses a new connection.
     """
 
     async def scenario() -> None:
@@ -177,12 +177,12 @@
     asyncio.run(scenario())
 
 
-def test_kept_connection_that_the_peer_closed_is_not_used() -> None:
+def test_idle_connection_closed_by_peer_is_not_reused() -> None:
     async def scenario() -> None:
         async with two_links() as (client, server):
             proxy = await fault_proxy.create_fault_proxy(server.address)
             await client.call(proxy.address, question(b"1"), 5.0)
-            assert client.kept
+            assert client.idle_streams
             proxy.cut()
             await asyncio.sleep(0.05)
             again = await client.call(proxy.address, question(b"2"), 5.0)
@@ -193,7 +193,7 @@
 
 
 async def send_raw(address: str, content: bytes) -> bytes:
-    """Sends bytes and returns what comes until the peer closes."""
+    """Sends bytes and returns what is received until the peer closes."""
     host, _, port = address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(content)
@@ -271,12 +271,12 @@
     asyncio.run(scenario())
 
 
-def test_message_over_the_frame_limit_is_the_senders_error() -> None:
+def test_message_over_frame_limit_raises_at_sender() -> None:
     async def scenario() -> None:
         async with two_links() as (client, server):
             big = question(random.Random(1).randbytes(5_000))
             with pytest.raises(ValueError, match="bytes"):
                 await client.call(server.address, big, 5.0)
-            assert not client.busy
+            assert not client.active_streams
 
     asyncio.run(scenario())
