--- a/src/almondshift/console/application.py
+++ b/src/almondshift/console/application.py
@@ -73,13 +73,13 @@
     args = create_parser().parse_args(argv)
     try:
         return int(args.run(args))
-    except nodes.Usage as error:
-        output.fail(error)
+    except nodes.UsageError as error:
+        output.report_error(error)
         return exit_codes.ExitCode.USAGE
     except errors.AlmondshiftError as error:
-        return output.fail(error)
+        return output.report_error(error)
     except BrokenPipeError:
-        # The reader of a pipe, such as head, has had enough.
+        # The reader of the pipe, such as head, closed it early.
         sys.stderr.close()
         return exit_codes.ExitCode.FAILED
 
--- a/src/almondshift/console/applying.py
+++ b/src/almondshift/console/applying.py
@@ -1,4 +1,4 @@
-"""Proposes a configuration and finds out what became of it."""
+"""Proposes a configuration change and determines its outcome."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
     from almondshift.adapters import http_operations_client
     from almondshift.ports import operations
 
-ASK_TIMES = 20
-ASK_EVERY_S = 0.5
-"""Ten seconds, by when an accepted version is in force everywhere."""
+READ_BACK_ATTEMPTS = 20
+READ_BACK_INTERVAL_S = 0.5
+"""Ten seconds in all, within which an accepted version reaches all nodes."""
 
 HISTORY_LIMIT = 50
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Proposal:
-    """A change, with an id by which its outcome can be asked for."""
+    """A configuration change, with an id to look up its outcome."""
 
     text: str
     base: int
@@ -33,28 +33,28 @@
 
 
 def create_proposal(text: str, base: int, author: str) -> Proposal:
-    """Returns a proposal with a new id."""
+    """Returns a proposal with a new change id."""
     return Proposal(text, base, uuid.uuid4().hex, author)
 
 
 async def propose(
     client: http_operations_client.NodeClient,
-    named: list[str],
+    addresses: list[str],
     proposal: Proposal,
 ) -> operations.ConfigVersion:
-    """Proposes a change to the first node that can be reached.
+    """Proposes a change to the first reachable node.
 
-    An answer that was lost on the way leaves open whether the change was
-    accepted. Proposed again, it could undo what another operator applied in
-    between; so it is only read back by its id.
+    If the response is lost, the outcome is unknown. Proposing the change
+    again could undo a change that another operator applied in between, so
+    the change is only looked up by its id.
 
     Raises:
-        errors.AlmondshiftError: It was not accepted, or its execution says
-            that the outcome is unknown.
+        errors.AlmondshiftError: The change was not accepted, or its outcome
+            is unknown, as the error's ``execution`` says.
     """
-    output.note(f"change id {proposal.change_id}")
-    applied = await nodes.first_reachable(
-        named,
+    output.print_message(f"change id {proposal.change_id}")
+    result = await nodes.call_first_reachable(
+        addresses,
         lambda node: client.apply(
             node,
             proposal.text,
@@ -63,44 +63,46 @@
             proposal.author,
         ),
     )
-    if applied.is_ok():
-        return applied.ok
-    error = applied.error
+    if result.is_ok():
+        return result.ok
+    error = result.error
     if error.execution is not errors.Execution.UNKNOWN:
         raise error
-    output.note(f"no certain answer ({error.detail}); reading back")
-    return await _read_back(client, named, proposal)
+    output.print_message(
+        f"outcome unknown ({error.detail}); looking up the change"
+    )
+    return await _read_back(client, addresses, proposal)
 
 
 async def _read_back(
     client: http_operations_client.NodeClient,
-    named: list[str],
+    addresses: list[str],
     proposal: Proposal,
 ) -> operations.ConfigVersion:
-    for _ in range(ASK_TIMES):
-        for node in named:
-            found = await client.history(node, HISTORY_LIMIT)
-            if found.is_error():
+    for _ in range(READ_BACK_ATTEMPTS):
+        for node in addresses:
+            history = await client.history(node, HISTORY_LIMIT)
+            if history.is_error():
                 continue
-            accepted = _find(found.ok, proposal)
+            accepted = _find_accepted(history.ok, proposal)
             if accepted is not None:
                 return accepted
-        await asyncio.sleep(ASK_EVERY_S)
+        await asyncio.sleep(READ_BACK_INTERVAL_S)
     raise errors.OutcomeUnknown(
         f"Whether change {proposal.change_id} was accepted is unknown.",
-        remedy="Ask later with 'almondshift config history --change-id "
+        remedy="Check later with 'almondshift config history --change-id "
         f"{proposal.change_id}' before applying again.",
     )
 
 
-def _find(
+def _find_accepted(
     versions: list[operations.ConfigVersion], proposal: Proposal
 ) -> operations.ConfigVersion | None:
-    """Returns the accepted change, or None if nothing is certain.
+    """Returns the accepted change, or None if its outcome is still unknown.
 
     Raises:
-        errors.ConfigConflict: Another change took the version after the
-            base, so this one can no longer be accepted.
+        errors.ConfigConflict: Another change was accepted as the version
+            after the base, so this one can no longer be accepted.
     """
     for version in versions:
         if version.change_id == proposal.change_id:
--- a/src/almondshift/console/burn_plot.py
+++ b/src/almondshift/console/burn_plot.py
@@ -1,4 +1,4 @@
-"""Draws burn over time as inline SVG."""
+"""Plots burn rates over time as inline SVG."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-WIDTH = 800
-HEIGHT = 300
-MARGIN = 45
-LEGEND_LINE = 18
-MIN_TOP = 2.0
+WIDTH_PX = 800
+HEIGHT_PX = 300
+MARGIN_PX = 45
+LEGEND_LINE_PX = 18
+MIN_Y_AXIS_MAX = 2.0
 SECONDS_PER_HOUR = 3600.0
 TICK_HOURS = (72, 48, 24, 0)
 COLOURS = (
@@ -22,56 +22,58 @@
     "#8c564b", "#7f7f7f",
 )  # fmt: skip
 
-Line = list[burn.SeriesPoint]
+Points = list[burn.SeriesPoint]
 
 
 def render(series: list[burn.SeriesPoint]) -> str:
-    """Returns an ``svg`` element: hours ago to the right, burn upwards."""
-    lines = _lines(series)
-    top = max([MIN_TOP, *(point.burn for point in series)])
-    height = HEIGHT + LEGEND_LINE * len(lines)
+    """Returns an ``svg`` element that plots burn rates over hours ago."""
+    lines = _group_by_objective(series)
+    y_max = max([MIN_Y_AXIS_MAX, *(point.burn for point in series)])
+    height = HEIGHT_PX + LEGEND_LINE_PX * len(lines)
     parts = [
-        f'<svg xmlns="http://www.w3.org/2000/svg" width="{WIDTH}" '
-        f'height="{height}" role="img" aria-label="Burn over time">',
-        *_axes(top),
+        f'<svg xmlns="http://www.w3.org/2000/svg" width="{WIDTH_PX}" '
+        f'height="{height}" role="img" aria-label="Burn rate over time">',
+        *_axes(y_max),
     ]
-    for i, (name, line) in enumerate(lines.items()):
-        parts.extend(_draw(i, name, line, top))
+    for i, (name, points) in enumerate(lines.items()):
+        parts.extend(_render_line(i, name, points, y_max))
     return "\n".join([*parts, "</svg>"])
 
 
-def _lines(series: list[burn.SeriesPoint]) -> dict[str, Line]:
-    lines: dict[str, Line] = {}
+def _group_by_objective(series: list[burn.SeriesPoint]) -> dict[str, Points]:
+    lines: dict[str, Points] = {}
     for point in series:
         name = f"{point.service} {point.objective.value}"
         lines.setdefault(name, []).append(point)
     return dict(sorted(lines.items()))
 
 
-def _draw(index: int, name: str, line: Line, top: float) -> Iterable[str]:
+def _render_line(
+    index: int, name: str, points: Points, y_max: float
+) -> Iterable[str]:
     colour = COLOURS[index % len(COLOURS)]
-    points = " ".join(
-        f"{_x(point.age_s):.1f},{_y(point.burn, top):.1f}" for point in line
+    coordinates = " ".join(
+        f"{_x(point.age_s):.1f},{_y(point.burn, y_max):.1f}" for point in points
     )
     yield (
-        f'<polyline points="{points}" fill="none" stroke="{colour}" '
+        f'<polyline points="{coordinates}" fill="none" stroke="{colour}" '
         'stroke-width="1.5"/>'
     )
-    for point in line:
+    for point in points:
         yield (
             f'<circle cx="{_x(point.age_s):.1f}" '
-            f'cy="{_y(point.burn, top):.1f}" r="2" fill="{colour}"/>'
+            f'cy="{_y(point.burn, y_max):.1f}" r="2" fill="{colour}"/>'
         )
-    y = HEIGHT + LEGEND_LINE * index + 10
-    yield _text(MARGIN, y, name, colour)
+    y = HEIGHT_PX + LEGEND_LINE_PX * index + 10
+    yield _text(MARGIN_PX, y, name, colour)
 
 
-def _axes(top: float) -> Iterable[str]:
-    bottom = _y(0, top)
-    for level in (0.0, 1.0, top):
-        y = _y(level, top)
+def _axes(y_max: float) -> Iterable[str]:
+    bottom = _y(0, y_max)
+    for level in (0.0, 1.0, y_max):
+        y = _y(level, y_max)
         yield (
-            f'<line x1="{MARGIN}" x2="{WIDTH - MARGIN}" y1="{y:.1f}" '
+            f'<line x1="{MARGIN_PX}" x2="{WIDTH_PX - MARGIN_PX}" y1="{y:.1f}" '
             f'y2="{y:.1f}" stroke="#bbb"/>'
         )
         yield _text(4, y, f"{level:.3g}", "#333")
@@ -88,10 +90,10 @@
 
 
 def _x(age_s: float) -> float:
-    longest = burn.WINDOWS_S[-1]
-    share = min(1.0, age_s / longest)
-    return MARGIN + (1.0 - share) * (WIDTH - 2 * MARGIN)
+    longest_s = burn.WINDOWS_S[-1]
+    age_ratio = min(1.0, age_s / longest_s)
+    return MARGIN_PX + (1.0 - age_ratio) * (WIDTH_PX - 2 * MARGIN_PX)
 
 
-def _y(value: float, top: float) -> float:
-    return HEIGHT - MARGIN - value / top * (HEIGHT - 2 * MARGIN)
+def _y(value: float, y_max: float) -> float:
+    return HEIGHT_PX - MARGIN_PX - value / y_max * (HEIGHT_PX - 2 * MARGIN_PX)
--- a/src/almondshift/console/burn_report.py
+++ b/src/almondshift/console/burn_report.py
@@ -1,4 +1,4 @@
-"""The report on burn as text, JSON and a page."""
+"""Error budget burn report as text, JSON and HTML."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 if TYPE_CHECKING:
     from almondshift.console import nodes
 
-CONTRIBUTIONS_SHOWN = 5
-WINDOW_NAMES = {
+MAX_CONTRIBUTIONS = 5
+WINDOW_LABELS = {
     300.0: "5 min",
     3600.0: "1 h",
     21_600.0: "6 h",
     259_200.0: "3 d",
 }
 SECONDS_PER_HOUR = 3600.0
-HEADS = ("service", "objective", "target", "budget left", "alarm")
-CAUSE_HEADS = ("service", "objective", "account", "cause", "missed", "share")
+BURN_HEADERS = ("service", "objective", "target", "budget left", "alarm")
+CAUSE_HEADERS = ("service", "objective", "account", "cause", "missed", "share")
 STYLE = (
     "body{font-family:sans-serif;margin:2em;max-width:60em}"
     "table{border-collapse:collapse;margin:1em 0}"
@@ -33,11 +33,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Report:
-    """What is reported.
+    """Burn rates merged over all nodes.
 
     Attributes:
-        answered: Addresses of nodes that are counted in.
-        silent: Address of and reason for each node that is not.
+        answered: Addresses of the nodes whose counts are included.
+        silent: Error by address, for each node that did not answer.
     """
 
     burns: list[burn.Burn]
@@ -47,16 +47,16 @@
 
 
 def create_report(
-    answers: list[nodes.Answered[burn.Snapshot]],
+    results: list[nodes.NodeResult[burn.Snapshot]],
 ) -> Report:
-    """Merges what nodes counted."""
-    snapshots = [a.value for a in answers if a.value is not None]
+    """Merges the counts of the nodes."""
+    snapshots = [r.value for r in results if r.value is not None]
     return Report(
         burns=burn.compute(snapshots),
         series=burn.compute_series(snapshots),
-        answered=[a.address for a in answers if a.error is None],
+        answered=[r.address for r in results if r.error is None],
         silent={
-            a.address: str(a.error) for a in answers if a.error is not None
+            r.address: str(r.error) for r in results if r.error is not None
         },
     )
 
@@ -68,86 +68,91 @@
 
 def render_text(report: Report) -> str:
     """Returns tables for a terminal."""
-    blocks = [_sources(report)]
+    blocks = [_coverage(report)]
     if report.burns:
-        blocks.append(output.table(_burn_heads(), _burn_rows(report)))
+        blocks.append(output.format_table(_burn_headers(), _burn_rows(report)))
     causes = _cause_rows(report)
     if causes:
-        blocks.append("missed in 3 d:\n" + output.table(CAUSE_HEADS, causes))
+        blocks.append(
+            "missed in 3 d:\n" + output.format_table(CAUSE_HEADERS, causes)
+        )
     return "\n\n".join(blocks)
 
 
 def render_html(report: Report) -> str:
-    """Returns one page with its plot inside, without scripts."""
+    """Returns a self-contained page with an inline plot and no scripts."""
     parts = [
         "<!doctype html>",
         '<html lang="en"><head><meta charset="utf-8">',
-        f"<title>Burn</title><style>{STYLE}</style></head><body>",
-        "<h1>Burn of error budgets</h1>",
-        f"<pre>{html.escape(_sources(report))}</pre>",
-        _html_table(_burn_heads(), _burn_rows(report)),
-        "<h2>Burn over three days</h2>",
+        f"<title>Burn rates</title><style>{STYLE}</style></head><body>",
+        "<h1>Error budget burn rates</h1>",
+        f"<pre>{html.escape(_coverage(report))}</pre>",
+        _html_table(_burn_headers(), _burn_rows(report)),
+        "<h2>Burn rates over three days</h2>",
         burn_plot.render(report.series),
-        "<h2>Who and what missed the objectives</h2>",
-        _html_table(CAUSE_HEADS, _cause_rows(report)),
+        "<h2>Missed objectives by account and cause</h2>",
+        _html_table(CAUSE_HEADERS, _cause_rows(report)),
         "</body></html>",
     ]
     return "\n".join(parts) + "\n"
 
 
-def _sources(report: Report) -> str:
-    lines = [f"{len(report.answered)} nodes counted in"]
+def _coverage(report: Report) -> str:
+    lines = [f"counts from {len(report.answered)} nodes"]
     if report.burns:
-        covered = report.burns[0].rates[-1].covered_s / SECONDS_PER_HOUR
-        lines.append(f"counts go back {covered:.1f} h at most")
+        covered_h = report.burns[0].rates[-1].covered_s / SECONDS_PER_HOUR
+        lines.append(f"counts cover {covered_h:.1f} h at most")
     for address, reason in report.silent.items():
         lines.append(f"NOT COUNTED, no answer: {address}: {reason}")
-    return "\n".join(output.cell(line) for line in lines)
+    return "\n".join(output.format_cell(line) for line in lines)
 
 
-def _burn_heads() -> list[str]:
-    return [*HEADS, *(f"burn {WINDOW_NAMES[w]}" for w in burn.WINDOWS_S)]
+def _burn_headers() -> list[str]:
+    return [
+        *BURN_HEADERS,
+        *(f"burn {WINDOW_LABELS[w]}" for w in burn.WINDOWS_S),
+    ]
 
 
 def _burn_rows(report: Report) -> list[list[str]]:
     return [
         [
-            one.service,
-            one.objective.value,
-            f"{one.target:.4g}",
-            f"{one.budget_left:.1%}",
-            one.alarm.value,
-            *(_burn_cell(rate) for rate in one.rates),
+            item.service,
+            item.objective.value,
+            f"{item.target:.4g}",
+            f"{item.budget_left:.1%}",
+            item.alarm.value,
+            *(_burn_cell(rate) for rate in item.rates),
         ]
-        for one in report.burns
+        for item in report.burns
     ]
 
 
 def _burn_cell(rate: burn.Rate) -> str:
     if rate.good + rate.bad == 0:
-        return output.NOTHING
+        return output.EMPTY_CELL
     return f"{rate.burn:.2f}"
 
 
 def _cause_rows(report: Report) -> list[list[str]]:
     return [
         [
-            one.service,
-            one.objective.value,
-            part.account,
-            part.cause,
-            str(part.bad),
-            f"{part.share:.1%}",
+            item.service,
+            item.objective.value,
+            contribution.account,
+            contribution.cause,
+            str(contribution.bad),
+            f"{contribution.share:.1%}",
         ]
-        for one in report.burns
-        for part in one.contributions[:CONTRIBUTIONS_SHOWN]
+        for item in report.burns
+        for contribution in item.contributions[:MAX_CONTRIBUTIONS]
     ]
 
 
 def _html_table(
-    heads: tuple[str, ...] | list[str], rows: list[list[str]]
+    headers: tuple[str, ...] | list[str], rows: list[list[str]]
 ) -> str:
-    head = "".join(f"<th>{html.escape(name)}</th>" for name in heads)
+    head = "".join(f"<th>{html.escape(name)}</th>" for name in headers)
     body = "".join(
         "<tr>"
         + "".join(f"<td>{html.escape(value)}</td>" for value in row)
--- a/src/almondshift/console/commands/burn.py
+++ b/src/almondshift/console/commands/burn.py
@@ -1,4 +1,4 @@
-"""``almondshift burn``: the burn of error budgets over all nodes."""
+"""``almondshift burn``: error budget burn rates over all nodes."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
     from almondshift.policy import burn
 
 EPILOG = """\
-A burn of 1 uses the budget exactly up; the alarm 'fast' asks for someone
-now, 'slow' for someone today. Nodes keep counts in memory, so the report
-says how far they go back, and which nodes did not answer.
+A burn rate of 1 uses up the budget exactly; the alarm 'fast' calls for action
+now, 'slow' for action today. Nodes keep counts in memory only, so the report
+states how far they go back, and which nodes did not answer.
 
 examples:
   almondshift burn --node 10.0.0.1:8080
@@ -32,27 +32,27 @@
     """Adds the command."""
     parser = subparsers.add_parser(
         "burn",
-        help="report the burn of service-level error budgets",
+        help="report burn rates of service-level error budgets",
         epilog=EPILOG,
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
     nodes.add_options(parser)
-    form = parser.add_mutually_exclusive_group()
-    form.add_argument("--json", action="store_true", help="print JSON")
-    form.add_argument(
+    formats = parser.add_mutually_exclusive_group()
+    formats.add_argument("--json", action="store_true", help="print JSON")
+    formats.add_argument(
         "--html", metavar="FILE", help="write a self-contained page"
     )
     parser.set_defaults(run=run)
 
 
 def run(args: argparse.Namespace) -> int:
-    """Asks all nodes, and prints or writes the report."""
-    answers = asyncio.run(_ask(args))
-    report = burn_report.create_report(answers)
+    """Fetches counts from all nodes, and prints or writes the report."""
+    results = asyncio.run(_fetch_snapshots(args))
+    report = burn_report.create_report(results)
     if args.html:
         page = burn_report.render_html(report)
         pathlib.Path(args.html).write_text(page, encoding="utf-8")
-        output.note(f"written: {args.html}")
+        output.print_message(f"written: {args.html}")
     elif args.json:
         print(burn_report.render_json(report))
     else:
@@ -62,14 +62,14 @@
     return exit_codes.ExitCode.OK
 
 
-async def _ask(
+async def _fetch_snapshots(
     args: argparse.Namespace,
-) -> list[nodes.Answered[burn.Snapshot]]:
-    seeds = nodes.addresses(args)
+) -> list[nodes.NodeResult[burn.Snapshot]]:
+    seeds = nodes.read_addresses(args)
     client = nodes.create_client(args)
     try:
         statuses = await nodes.statuses(client, seeds)
-        found = [answer.address for answer in statuses]
-        return await nodes.call_all(found, client.burn)
+        addresses = [result.address for result in statuses]
+        return await nodes.call_all(addresses, client.burn)
     finally:
         client.close()
--- a/src/almondshift/console/commands/config.py
+++ b/src/almondshift/console/commands/config.py
@@ -1,4 +1,4 @@
-"""``almondshift config``: check, apply and look at configurations."""
+"""``almondshift config``: check, apply and inspect configurations."""
 
 from __future__ import annotations
 
@@ -37,17 +37,17 @@
   almondshift config history --node 10.0.0.1:8080
   almondshift config diff 41 fleet.ini --node 10.0.0.1:8080
 """
-HISTORY_HEADS = ("version", "accepted", "author", "change id")
-DIFF_HEADS = ("section", "key", "old", "new")
-DEFAULT_LIMIT = 20
-SAMPLE = "sample.ini"
+HISTORY_HEADERS = ("version", "accepted", "author", "change id")
+DIFF_HEADERS = ("section", "key", "old", "new")
+DEFAULT_HISTORY_LIMIT = 20
+SAMPLE_FILE = "sample.ini"
 
 
 def add_parser(subparsers: Subparsers) -> None:
     """Adds the command and its actions."""
     parser = subparsers.add_parser(
         "config",
-        help="check, apply and look at configurations",
+        help="check, apply and inspect configurations",
         epilog=EPILOG,
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
@@ -67,21 +67,25 @@
     parser.add_argument(
         "--canonical",
         action="store_true",
-        help="print the text with every key, sorted",
+        help="print the canonical text: every key, sorted",
     )
     parser.set_defaults(run=run_check)
 
 
 def _add_apply(actions: Subparsers) -> None:
-    parser = actions.add_parser("apply", help="propose a file")
+    parser = actions.add_parser(
+        "apply", help="propose a file as the new version"
+    )
     parser.add_argument("file", metavar="FILE")
     parser.add_argument(
         "--base",
         type=int,
         metavar="N",
-        help="the version that the file was made from (default: in force)",
+        help="the version the file is based on (default: the one in force)",
+    )
+    parser.add_argument(
+        "--author", default=_current_user(), help="default: the current user"
     )
-    parser.add_argument("--author", default=_user(), help="default: the user")
     nodes.add_options(parser)
     parser.set_defaults(run=run_apply)
 
@@ -89,7 +93,7 @@
 def _add_show(actions: Subparsers) -> None:
     parser = actions.add_parser("show", help="print a version's text")
     parser.add_argument(
-        "--version", type=int, metavar="N", help="default: in force"
+        "--version", type=int, metavar="N", help="default: the one in force"
     )
     nodes.add_options(parser)
     parser.set_defaults(run=run_show)
@@ -97,7 +101,7 @@
 
 def _add_history(actions: Subparsers) -> None:
     parser = actions.add_parser("history", help="list accepted versions")
-    parser.add_argument("--limit", type=int, default=DEFAULT_LIMIT)
+    parser.add_argument("--limit", type=int, default=DEFAULT_HISTORY_LIMIT)
     parser.add_argument(
         "--change-id", metavar="ID", help="only the change with this id"
     )
@@ -115,27 +119,27 @@
 
 
 def run_sample(args: argparse.Namespace) -> int:
-    """Prints the sample fleet that the demo uses."""
-    sample = importlib.resources.files(data).joinpath(SAMPLE)
+    """Prints the sample configuration that the demo uses."""
+    sample = importlib.resources.files(data).joinpath(SAMPLE_FILE)
     print(sample.read_text(encoding="utf-8"), end="")
     return exit_codes.ExitCode.OK
 
 
 def run_check(args: argparse.Namespace) -> int:
     """Validates a file without a running system."""
-    checked = _parse(read_file(args.file), 0)
+    parsed = _parse(read_file(args.file), 0)
     if args.canonical:
-        print(fleet_render.render(checked), end="")
+        print(fleet_render.render(parsed), end="")
         return exit_codes.ExitCode.OK
     print(
-        f"ok: {len(checked.models)} models, {len(checked.services)} "
-        f"services, {len(checked.accounts)} accounts"
+        f"ok: {len(parsed.models)} models, {len(parsed.services)} "
+        f"services, {len(parsed.accounts)} accounts"
     )
     return exit_codes.ExitCode.OK
 
 
 def run_apply(args: argparse.Namespace) -> int:
-    """Checks a file here, then proposes it to a node."""
+    """Validates a file locally, then proposes it to a node."""
     text = read_file(args.file)
     _parse(text, 0)
     accepted = asyncio.run(_apply(args, text))
@@ -146,112 +150,129 @@
 async def _apply(
     args: argparse.Namespace, text: str
 ) -> operations.ConfigVersion:
-    named = nodes.addresses(args)
+    addresses = nodes.read_addresses(args)
     client = nodes.create_client(args)
     try:
         base = args.base
         if base is None:
-            base = (await _show(client, named, None)).version
-            output.note(f"based on version {base}, in force at {named[0]}")
+            base = (await _fetch_version(client, addresses, None)).version
+            output.print_message(
+                f"based on version {base}, in force at {addresses[0]}"
+            )
         proposal = applying.create_proposal(text, base, args.author)
-        return await applying.propose(client, named, proposal)
+        return await applying.propose(client, addresses, proposal)
     finally:
         client.close()
 
 
 def run_show(args: argparse.Namespace) -> int:
-    """Prints a version's text, and on standard error what it is."""
-    shown = asyncio.run(_show_one(args, args.version))
-    verified = "" if shown.verified else " (unverified: platform away)"
-    output.note(f"version {shown.version}{verified} by {shown.author}")
-    print(shown.text, end="" if shown.text.endswith("\n") else "\n")
+    """Prints a version's text, and its number and author on standard error."""
+    config_version = asyncio.run(_connect_and_fetch_version(args, args.version))
+    verified = (
+        "" if config_version.verified else " (unverified: platform unreachable)"
+    )
+    output.print_message(
+        f"version {config_version.version}{verified} by {config_version.author}"
+    )
+    print(
+        config_version.text,
+        end="" if config_version.text.endswith("\n") else "\n",
+    )
     return exit_codes.ExitCode.OK
 
 
-async def _show_one(
+async def _connect_and_fetch_version(
     args: argparse.Namespace, version: int | None
 ) -> operations.ConfigVersion:
-    named = nodes.addresses(args)
+    addresses = nodes.read_addresses(args)
     client = nodes.create_client(args)
     try:
-        return await _show(client, named, version)
+        return await _fetch_version(client, addresses, version)
     finally:
         client.close()
 
 
-async def _show(
+async def _fetch_version(
     client: http_operations_client.NodeClient,
-    named: list[str],
+    addresses: list[str],
     version: int | None,
 ) -> operations.ConfigVersion:
-    shown = await nodes.first_reachable(
-        named, lambda node: client.show(node, version)
+    result = await nodes.call_first_reachable(
+        addresses, lambda node: client.show(node, version)
     )
-    if shown.is_error():
-        raise shown.error
-    return shown.ok
+    if result.is_error():
+        raise result.error
+    return result.ok
 
 
 def run_history(args: argparse.Namespace) -> int:
     """Lists accepted versions, newest first."""
-    versions = asyncio.run(_history(args))
+    versions = asyncio.run(_fetch_history(args))
     if args.change_id:
         versions = [v for v in versions if v.change_id == args.change_id]
     if args.json:
         print(json.dumps([dataclasses.asdict(v) for v in versions], indent=2))
     else:
         rows = [
-            (v.version, _instant(v.accepted_at), v.author, v.change_id)
+            (v.version, _format_time(v.accepted_at), v.author, v.change_id)
             for v in versions
         ]
-        print(output.table(HISTORY_HEADS, rows))
+        print(output.format_table(HISTORY_HEADERS, rows))
     if args.change_id and not versions:
-        output.note(f"error: no accepted change has the id {args.change_id}")
-        output.note("remedy: Ask with a larger --limit if it is old.")
+        output.print_message(
+            f"error: no accepted change has the id {args.change_id}"
+        )
+        output.print_message(
+            "remedy: Retry with a larger --limit if the change is old."
+        )
         return exit_codes.ExitCode.FAILED
     return exit_codes.ExitCode.OK
 
 
-async def _history(
+async def _fetch_history(
     args: argparse.Namespace,
 ) -> list[operations.ConfigVersion]:
-    named = nodes.addresses(args)
+    addresses = nodes.read_addresses(args)
     client = nodes.create_client(args)
     try:
-        found = await nodes.first_reachable(
-            named, lambda node: client.history(node, args.limit)
+        result = await nodes.call_first_reachable(
+            addresses, lambda node: client.history(node, args.limit)
         )
     finally:
         client.close()
-    if found.is_error():
-        raise found.error
-    return found.ok
+    if result.is_error():
+        raise result.error
+    return result.ok
 
 
 def run_diff(args: argparse.Namespace) -> int:
-    """Prints what differs, by section and key."""
-    changes = fleet_render.diff(_load(args, args.old), _load(args, args.new))
+    """Prints the differences, by section and key."""
+    changes = fleet_render.diff(
+        _load_fleet(args, args.old), _load_fleet(args, args.new)
+    )
     if not changes:
         print("no difference")
         return exit_codes.ExitCode.OK
     rows = [(c.section, c.key, c.old, c.new) for c in changes]
-    print(output.table(DIFF_HEADS, rows))
+    print(output.format_table(DIFF_HEADERS, rows))
     return exit_codes.ExitCode.OK
 
 
-def _load(args: argparse.Namespace, source: str) -> fleet.Fleet:
-    """Reads a version from a node if ``source`` is a number, or a file."""
+def _load_fleet(args: argparse.Namespace, source: str) -> fleet.Fleet:
+    """Fetches a version if ``source`` is a number, else reads a file."""
     if not (source.isascii() and source.isdigit()):
         return _parse(read_file(source), 0)
     version = int(source)
-    return _parse(asyncio.run(_show_one(args, version)).text, version)
+    return _parse(
+        asyncio.run(_connect_and_fetch_version(args, version)).text, version
+    )
 
 
 def read_file(path: str) -> str:
-    """Reads a text.
+    """Reads a UTF-8 text file.
 
     Raises:
-        errors.ConfigInvalid: It cannot be read.
+        errors.ConfigInvalid: The file cannot be read.
     """
     try:
         return pathlib.Path(path).read_text(encoding="utf-8-sig")
@@ -260,7 +281,7 @@
             f"{path!r} cannot be read ({type(error).__name__}).",
             section="file",
             key=None,
-            remedy="Check the path, its rights and that it is UTF-8.",
+            remedy="Check the path, its permissions and that it is UTF-8.",
         ) from error
 
 
@@ -271,13 +292,13 @@
     return parsed.ok
 
 
-def _user() -> str:
+def _current_user() -> str:
     try:
         return getpass.getuser()
     except (KeyError, OSError):
         return "unknown"
 
 
-def _instant(wall: float) -> str:
-    instant = datetime.datetime.fromtimestamp(wall, datetime.UTC)
-    return instant.strftime("%Y-%m-%d %H:%M:%S UTC")
+def _format_time(epoch_s: float) -> str:
+    utc_time = datetime.datetime.fromtimestamp(epoch_s, datetime.UTC)
+    return utc_time.strftime("%Y-%m-%d %H:%M:%S UTC")
--- a/src/almondshift/console/commands/demo.py
+++ b/src/almondshift/console/commands/demo.py
@@ -1,4 +1,4 @@
-"""``almondshift demo``: the main job on embedded stand-ins."""
+"""``almondshift demo``: sample requests to an embedded system."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from almondshift.daemons import demo
 
 EPILOG = """\
-Exits with 0 only if every answer was right.
+Exits with 0 only if every answer was correct.
 
 examples:
   almondshift demo
@@ -21,14 +21,14 @@
     """Adds the command."""
     parser = subparsers.add_parser(
         "demo",
-        help="run the main job on embedded stand-ins",
+        help="send sample requests to an embedded system of stand-ins",
         epilog=EPILOG,
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
     parser.add_argument(
         "--keep",
         action="store_true",
-        help="stay up afterwards, for trying by hand",
+        help="keep the system running afterwards, for manual requests",
     )
     parser.set_defaults(run=run)
 
--- a/src/almondshift/console/commands/keys.py
+++ b/src/almondshift/console/commands/keys.py
@@ -1,4 +1,4 @@
-"""``almondshift keys``: helps with the keys of client accounts."""
+"""``almondshift keys``: hashes the keys of client accounts."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 EPILOG = """\
 The key is read from standard input, so that it stays out of the shell's
-history and out of the list of processes.
+history and the process list.
 
 example:
   head -c 32 /dev/urandom | base64 | tee members.key | almondshift keys hash
@@ -24,27 +24,27 @@
     """Adds the command."""
     parser = subparsers.add_parser("keys", help="work with account keys")
     actions = parser.add_subparsers(dest="action", required=True)
-    hashing = actions.add_parser(
+    hash_parser = actions.add_parser(
         "hash",
         help="print the key_hash of a key on standard input",
         epilog=EPILOG,
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
-    hashing.set_defaults(run=run)
+    hash_parser.set_defaults(run=run)
 
 
 def run(args: argparse.Namespace) -> int:
     """Prints the hash of the first line of standard input."""
     key = sys.stdin.readline().strip()
     if not key:
-        raise nodes.Usage(
+        raise nodes.UsageError(
             "There is no key on standard input.",
-            remedy="Send it there, e.g. 'almondshift keys hash < members.key'.",
+            remedy="Pipe it in, e.g. 'almondshift keys hash < members.key'.",
         )
     if not key.isascii():
-        raise nodes.Usage(
+        raise nodes.UsageError(
             "The key is not ASCII.",
-            remedy="Use letters and digits: headers carry nothing else well.",
+            remedy="Use ASCII letters and digits: others may break in headers.",
         )
     print(keys.hash_key(key))
     return exit_codes.ExitCode.OK
--- a/src/almondshift/console/commands/relay.py
+++ b/src/almondshift/console/commands/relay.py
@@ -16,7 +16,7 @@
     """Adds the command."""
     parser = subparsers.add_parser(
         "relay",
-        help="run a node before engines that pass work along a path",
+        help="run a relay node, for engines that pass work along a path",
         epilog=EPILOG,
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
@@ -26,7 +26,7 @@
 
 def run(args: argparse.Namespace) -> int:
     """Runs the daemon."""
-    # Imported here: other commands need nothing of the platform.
+    # Imported lazily: other commands do not need the platform modules.
     from almondshift.daemons import relay
 
     return relay.run(args.settings)
--- a/src/almondshift/console/commands/trace.py
+++ b/src/almondshift/console/commands/trace.py
@@ -1,4 +1,4 @@
-"""``almondshift trace``: what became of a request, from nodes' log lines."""
+"""``almondshift trace``: a request's history, from the nodes' log lines."""
 
 from __future__ import annotations
 
@@ -18,15 +18,17 @@
 
 EPILOG = """\
 The files hold log lines of any number of nodes, in any order. Text before
-the first brace of a line is passed over. Lines about the endpoints of the
-request are shown too, from WINDOW seconds before it to WINDOW seconds after.
+the first brace of a line is ignored. Lines about the endpoints of the request
+are shown too, from WINDOW seconds before it to WINDOW seconds after it.
 
 example:
   almondshift trace 9c41d07be2a35f68 node-1.log node-2.log
 """
 
 DEFAULT_WINDOW_S = 5.0
-HIDDEN = frozenset({"time", "node", "event", "message", "level", "logger"})
+COMMON_FIELDS = frozenset(
+    {"time", "node", "event", "message", "level", "logger"}
+)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -39,8 +41,8 @@
     message: str
     fields: dict[str, Any]
 
-    def shown(self) -> str:
-        """Returns the line for people."""
+    def format(self) -> str:
+        """Returns the line in human-readable form."""
         details = " ".join(f"{k}={v}" for k, v in self.fields.items())
         return f"{self.time} {self.node} {self.event} {self.message}: {details}"
 
@@ -51,7 +53,7 @@
     """Adds the command."""
     parser = subparsers.add_parser(
         "trace",
-        help="show what became of a request, from nodes' logs",
+        help="show the history of a request, from the nodes' logs",
         epilog=EPILOG,
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
@@ -64,46 +66,49 @@
 
 
 def run(args: argparse.Namespace) -> int:
-    """Prints the lines about a request and its endpoints, by time."""
+    """Prints the log lines about a request and its endpoints, by time."""
     lines = list(_read(args.files))
     found = trace(lines, args.request_id, args.window)
     if not found:
         print(
-            f"No line names request {args.request_id}. Give the logs of all "
-            "nodes that the caller may have used, for the right time.",
+            f"No log line mentions request {args.request_id}. Give the logs of "
+            "all nodes that the caller may have used, from the time of the "
+            "request.",
             file=sys.stderr,
         )
         return int(exit_codes.ExitCode.FAILED)
     for line in found:
-        print(line.shown())
+        print(line.format())
     return int(exit_codes.ExitCode.OK)
 
 
 def trace(
     lines: Iterable[LogLine], request_id: str, window_s: float
 ) -> list[LogLine]:
-    """Returns lines of a request, and of its endpoints about that time."""
-    kept = sorted(lines, key=lambda line: line.time)
-    own = [x for x in kept if x.fields.get("request_id") == request_id]
-    if not own:
+    """Returns the lines of a request, and of its endpoints around that time."""
+    ordered = sorted(lines, key=lambda line: line.time)
+    request_lines = [
+        x for x in ordered if x.fields.get("request_id") == request_id
+    ]
+    if not request_lines:
         return []
-    named = _endpoints(own)
-    first = _seconds(own[0].time) - window_s
-    last = _seconds(own[-1].time) + window_s
+    endpoints = _endpoints(request_lines)
+    start = _epoch_s(request_lines[0].time) - window_s
+    end = _epoch_s(request_lines[-1].time) + window_s
     return [
         line
-        for line in kept
+        for line in ordered
         if line.fields.get("request_id") == request_id
         or (
-            line.fields.get("endpoint") in named
+            line.fields.get("endpoint") in endpoints
             and "request_id" not in line.fields
-            and first <= _seconds(line.time) <= last
+            and start <= _epoch_s(line.time) <= end
         )
     ]
 
 
 def parse(text: str) -> LogLine | None:
-    """Returns a line of a log, None for any other text."""
+    """Returns the parsed log line, or None for any other text."""
     start = text.find("{")
     if start < 0:
         return None
@@ -118,7 +123,7 @@
         node=str(fields.get("node", "")),
         event=str(fields["event"]),
         message=str(fields.get("message", "")),
-        fields={k: v for k, v in fields.items() if k not in HIDDEN},
+        fields={k: v for k, v in fields.items() if k not in COMMON_FIELDS},
     )
 
 
@@ -137,20 +142,20 @@
             yield line
 
 
-def _endpoints(own: list[LogLine]) -> set[str]:
-    named: set[str] = set()
-    for line in own:
+def _endpoints(request_lines: list[LogLine]) -> set[str]:
+    endpoints: set[str] = set()
+    for line in request_lines:
         for key in ("endpoint", "away_from"):
             if line.fields.get(key):
-                named.add(str(line.fields[key]))
-        named.update(
+                endpoints.add(str(line.fields[key]))
+        endpoints.update(
             filter(None, str(line.fields.get("instances", "")).split(","))
         )
-    return named
+    return endpoints
 
 
-def _seconds(time: str) -> float:
-    """Returns seconds since the epoch, or 0 for a time that can't be read."""
+def _epoch_s(time: str) -> float:
+    """Returns seconds since the epoch, or 0 for an invalid time."""
     try:
         return datetime.datetime.fromisoformat(time).timestamp()
     except ValueError:
--- a/src/almondshift/console/commands/version.py
+++ b/src/almondshift/console/commands/version.py
@@ -1,4 +1,4 @@
-"""``almondshift version``: prints the release."""
+"""``almondshift version``: prints the package version."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
     subparsers: argparse._SubParsersAction[argparse.ArgumentParser],
 ) -> None:
     """Adds the command."""
-    parser = subparsers.add_parser("version", help="print the release")
+    parser = subparsers.add_parser("version", help="print the version")
     parser.set_defaults(run=run)
 
 
 def run(args: argparse.Namespace) -> int:
-    """Prints the release."""
+    """Prints the version."""
     print(importlib.metadata.version(PACKAGE))
     return exit_codes.ExitCode.OK
--- a/src/almondshift/console/exit_codes.py
+++ b/src/almondshift/console/exit_codes.py
@@ -6,7 +6,7 @@
 
 
 class ExitCode(enum.IntEnum):
-    """What a command came to."""
+    """Outcome of a command."""
 
     OK = 0
     FAILED = 1
--- a/src/almondshift/console/nodes.py
+++ b/src/almondshift/console/nodes.py
@@ -1,4 +1,4 @@
-"""Options that name nodes, and calls that go to all of them."""
+"""Command-line options for node addresses, and calls to many nodes."""
 
 from __future__ import annotations
 
@@ -23,22 +23,22 @@
 
 NODES_VARIABLE = "ALMONDSHIFT_NODES"
 SECRET_VARIABLE = "ALMONDSHIFT_SECRET_FILE"
-CALLS_AT_ONCE = 32
-ROUNDS = 3
-"""Rounds of asking nodes that others named; guards against a long chain."""
+MAX_CONCURRENT_CALLS = 32
+MAX_DISCOVERY_ROUNDS = 3
+"""Bounds node discovery if nodes list one another in a long chain."""
 
 ValueT = TypeVar("ValueT")
 
 
-class Usage(errors.Refusal):
-    """An option is missing."""
+class UsageError(errors.Refusal):
+    """A required option or input is missing or invalid."""
 
     kind = "usage"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Answered(Generic[ValueT]):
-    """What one node gave: a value, or else an error."""
+class NodeResult(Generic[ValueT]):
+    """Result of a call to one node: a value or an error."""
 
     address: str
     value: ValueT | None
@@ -52,27 +52,27 @@
         action="append",
         metavar="HOST:PORT",
         help=f"a node; may be repeated (default: ${NODES_VARIABLE}, "
-        "addresses with commas)",
+        "a comma-separated list)",
     )
     parser.add_argument(
         "--secret-file",
         metavar="FILE",
         default=os.environ.get(SECRET_VARIABLE, ""),
-        help=f"the operators' secret (default: ${SECRET_VARIABLE})",
+        help=f"file with the operators' secret (default: ${SECRET_VARIABLE})",
     )
 
 
-def addresses(args: argparse.Namespace) -> list[str]:
-    """Returns the nodes named.
+def read_addresses(args: argparse.Namespace) -> list[str]:
+    """Returns the node addresses from the options or the environment.
 
     Raises:
-        Usage: None is named.
+        UsageError: No address is given.
     """
-    named = args.node or os.environ.get(NODES_VARIABLE, "").split(",")
-    found = [address.strip() for address in named if address.strip()]
+    given = args.node or os.environ.get(NODES_VARIABLE, "").split(",")
+    found = [address.strip() for address in given if address.strip()]
     if not found:
-        raise Usage(
-            "No node is named.",
+        raise UsageError(
+            "No node address is given.",
             remedy=f"Give --node HOST:PORT, or set {NODES_VARIABLE}.",
         )
     return found
@@ -85,17 +85,17 @@
 
     Args:
         args: The command's options.
-        needs_secret: Whether the nodes ask for it.
+        needs_secret: Whether the nodes require the secret.
 
     Raises:
-        Usage: No file with the secret is named.
+        UsageError: No secret file is given.
         errors.ConfigInvalid: The file cannot be read.
     """
     if not needs_secret:
         return http_operations_client.create_node_client(keys.Secret(""))
     if not args.secret_file:
-        raise Usage(
-            "No file with the operators' secret is named.",
+        raise UsageError(
+            "No file with the operators' secret is given.",
             remedy=f"Give --secret-file FILE, or set {SECRET_VARIABLE}.",
         )
     secret = keys.read_secret(args.secret_file, "command", "--secret-file")
@@ -104,36 +104,36 @@
     return http_operations_client.create_node_client(secret.ok)
 
 
-async def first_reachable(
+async def call_first_reachable(
     nodes: list[str],
     call: Callable[
         [str], Awaitable[expression.Result[ValueT, errors.AlmondshiftError]]
     ],
 ) -> expression.Result[ValueT, errors.AlmondshiftError]:
-    """Calls nodes in turn until one can be reached."""
-    answer = await call(nodes[0])
+    """Calls nodes in turn until one is reachable."""
+    result = await call(nodes[0])
     for node in nodes[1:]:
-        if answer.is_ok():
+        if result.is_ok():
             break
-        if not isinstance(answer.error, http_operations_client.NodeUnreachable):
+        if not isinstance(result.error, http_operations_client.NodeUnreachable):
             break
-        answer = await call(node)
-    return answer
+        result = await call(node)
+    return result
 
 
 async def statuses(
     client: http_operations_client.NodeClient, seeds: list[str]
-) -> list[Answered[dict[str, Any]]]:
-    """Asks the named nodes, and all nodes that these know of."""
-    answered: dict[str, Answered[dict[str, Any]]] = {}
+) -> list[NodeResult[dict[str, Any]]]:
+    """Fetches the statuses of the seeds and of all nodes they know of."""
+    results: dict[str, NodeResult[dict[str, Any]]] = {}
     pending = seeds
-    for _ in range(ROUNDS):
-        for answer in await call_all(pending, client.status):
-            answered[answer.address] = answer
-        pending = [a for a in _named(answered) if a not in answered]
+    for _ in range(MAX_DISCOVERY_ROUNDS):
+        for result in await call_all(pending, client.status):
+            results[result.address] = result
+        pending = [a for a in _listed_addresses(results) if a not in results]
         if not pending:
             break
-    return _without_aliases(list(answered.values()))
+    return _without_aliases(list(results.values()))
 
 
 async def call_all(
@@ -141,41 +141,41 @@
     call: Callable[
         [str], Awaitable[expression.Result[ValueT, errors.AlmondshiftError]]
     ],
-) -> list[Answered[ValueT]]:
-    """Calls nodes side by side, some at a time; answers in their order."""
-    free = asyncio.Semaphore(CALLS_AT_ONCE)
+) -> list[NodeResult[ValueT]]:
+    """Calls nodes concurrently; returns results in the nodes' order."""
+    slots = asyncio.Semaphore(MAX_CONCURRENT_CALLS)
 
-    async def one(address: str) -> Answered[ValueT]:
-        async with free:
-            answer = await call(address)
-        if answer.is_ok():
-            return Answered(address, answer.ok, None)
-        return Answered(address, None, answer.error)
+    async def call_one(address: str) -> NodeResult[ValueT]:
+        async with slots:
+            result = await call(address)
+        if result.is_ok():
+            return NodeResult(address, result.ok, None)
+        return NodeResult(address, None, result.error)
 
-    return await asyncio.gather(*(one(address) for address in nodes))
+    return await asyncio.gather(*(call_one(address) for address in nodes))
 
 
-def _named(
-    answered: dict[str, Answered[dict[str, Any]]],
+def _listed_addresses(
+    results: dict[str, NodeResult[dict[str, Any]]],
 ) -> list[str]:
-    named: dict[str, None] = {}
-    for answer in answered.values():
-        rows = (answer.value or {}).get("nodes", [])
+    addresses: dict[str, None] = {}
+    for result in results.values():
+        rows = (result.value or {}).get("nodes", [])
         for row in rows if isinstance(rows, list) else []:
             if isinstance(row, dict) and isinstance(row.get("entry"), str):
-                named[row["entry"]] = None
-    return [address for address in named if address]
+                addresses[row["entry"]] = None
+    return [address for address in addresses if address]
 
 
 def _without_aliases(
-    answers: list[Answered[dict[str, Any]]],
-) -> list[Answered[dict[str, Any]]]:
-    """Leaves out a node reached by two addresses, which counts once."""
+    results: list[NodeResult[dict[str, Any]]],
+) -> list[NodeResult[dict[str, Any]]]:
+    """Drops duplicates of a node that was reached at several addresses."""
     seen: set[str] = set()
     kept = []
-    for answer in answers:
-        name = str((answer.value or {}).get("node") or answer.address)
+    for result in results:
+        name = str((result.value or {}).get("node") or result.address)
         if name not in seen:
-            kept.append(answer)
+            kept.append(result)
         seen.add(name)
     return kept
--- a/src/almondshift/daemons/__init__.py
+++ b/src/almondshift/daemons/__init__.py
@@ -1,1 +1,1 @@
-"""Thin entry points: read settings, build, start, wait, close."""
+"""Entry points: read settings, build, start, wait for a signal, close."""
--- a/src/almondshift/daemons/demo.py
+++ b/src/almondshift/daemons/demo.py
@@ -1,4 +1,4 @@
-"""The main job on embedded stand-ins, told as it happens."""
+"""Sends sample requests to an embedded system and prints each step."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
     (MEMBERS_KEY, "advice", "What does the label mean by daily value?", True),
 )
 LONG_PROMPT = "Write a summary of the waste sorting campaign."
-LONG_TOKENS = 120
-KILL_AFTER = 40
+LONG_PROMPT_MAX_TOKENS = 120
+KILL_AFTER_TOKENS = 40
 
 ENGINES = (
     ("fast-1", "zone-a", "fast", 8, 2.0, 60.0),
@@ -38,7 +38,7 @@
 
 
 def engines() -> tuple[engine_settings.EngineSettings, ...]:
-    """Returns the demo's engines: two kinds of accelerators, mixed sizes."""
+    """Returns the demo's engines: two accelerator kinds, mixed capacities."""
     return tuple(
         engine_settings.EngineSettings(
             name=name,
@@ -53,8 +53,8 @@
     )
 
 
-def sample_text() -> str:
-    """Returns the sample of an operators' text."""
+def sample_config_text() -> str:
+    """Returns the sample configuration text."""
     return (
         importlib.resources.files("almondshift.data")
         .joinpath("sample.ini")
@@ -63,12 +63,12 @@
 
 
 class Demo:
-    """Runs the steps and remembers whether all answers were right."""
+    """Runs the demo's steps and records whether all answers were correct."""
 
     def __init__(self, system: embedded.EmbeddedSystem) -> None:
         self.system = system
         self.tokenizer = byte_tokenizer.create_tokenizer()
-        self.all_right = True
+        self.all_correct = True
         self.callers: dict[str, http_caller.Caller] = {}
 
     async def start(self) -> None:
@@ -82,37 +82,37 @@
             self.callers[key] = caller
 
     async def close(self) -> None:
-        """Closes all."""
+        """Closes the callers and the system."""
         for caller in self.callers.values():
             await caller.close()
         await self.system.close()
 
     async def run(self) -> None:
-        """Runs the main job."""
+        """Sends the sample requests, the last of them during an engine loss."""
         print("Applied the sample configuration as version 1.")
         await self.system.wait_ready("advice", "portal")
         await self.system.wait_peers()
-        self._show_entries(await self.callers[MEMBERS_KEY].entries())
+        self._print_entries(await self.callers[MEMBERS_KEY].entries())
         for key, service, prompt, stream in PROMPTS:
-            await self._ask(key, service, prompt, stream)
-        await self._call_portal()
-        await self._lose_an_engine()
+            await self._request_completion(key, service, prompt, stream)
+        await self._repeat_portal_call()
+        await self._complete_during_engine_loss()
 
-    def _show_entries(self, addresses: list[str]) -> None:
-        print(f"GET /v1/entries names {len(addresses)} nodes: {addresses}")
+    def _print_entries(self, addresses: list[str]) -> None:
+        print(f"GET /v1/entries lists {len(addresses)} nodes: {addresses}")
 
-    async def _ask(
+    async def _request_completion(
         self, key: str, service: str, prompt: str, stream: bool
     ) -> None:
         answer = await self.callers[key].complete(
             service, prompt, 24, stream=stream
         )
-        way = "streamed" if stream else "whole"
-        print(f"\n{service} ({way}): {prompt}")
+        mode = "streamed" if stream else "whole"
+        print(f"\n{service} ({mode}): {prompt}")
         self._check(prompt, 24, answer)
-        self._show_stages(answer)
+        self._print_stages(answer)
 
-    async def _call_portal(self) -> None:
+    async def _repeat_portal_call(self) -> None:
         caller = self.callers[MEMBERS_KEY]
         body = b'{"pause": "order 17"}'
         first = await caller.call(
@@ -125,45 +125,47 @@
             len(server.record.rows) for server in self.system.plain.values()
         )
         print(f"\nportal: status {first.status}, repeat {again.status}")
-        print(f"  the pause notice ran {runs} time(s) in all")
-        self._note(first.status == 200 and first.text == again.text)
-        self._note(runs == 1)
+        print(f"  the pause notice ran {runs} time(s) in total")
+        self._record_check(first.status == 200 and first.text == again.text)
+        self._record_check(runs == 1)
 
-    async def _lose_an_engine(self) -> None:
+    async def _complete_during_engine_loss(self) -> None:
         print(f"\nadvice (streamed), an engine is lost: {LONG_PROMPT}")
-        tokens_seen: list[int] = []
-        kill: list[asyncio.Task[None]] = []
+        tokens_received: list[int] = []
+        kill_tasks: list[asyncio.Task[None]] = []
 
         def on_token(token: int) -> None:
-            tokens_seen.append(token)
-            if len(tokens_seen) == KILL_AFTER:
-                kill.append(asyncio.ensure_future(self._kill_busiest()))
+            tokens_received.append(token)
+            if len(tokens_received) == KILL_AFTER_TOKENS:
+                kill_tasks.append(asyncio.ensure_future(self._kill_busiest()))
 
         answer = await self.callers[MEMBERS_KEY].complete(
-            "advice", LONG_PROMPT, LONG_TOKENS, on_token=on_token
+            "advice", LONG_PROMPT, LONG_PROMPT_MAX_TOKENS, on_token=on_token
         )
-        await asyncio.gather(*kill)
-        self._check(LONG_PROMPT, LONG_TOKENS, answer)
-        self._show_stages(answer)
+        await asyncio.gather(*kill_tasks)
+        self._check(LONG_PROMPT, LONG_PROMPT_MAX_TOKENS, answer)
+        self._print_stages(answer)
         for recovery in answer.details.get("recoveries", []):
-            way = "all stages" if recovery["restarted"] else "one stage"
+            scope = "all stages" if recovery["restarted"] else "one stage"
             print(
                 f"  {recovery['endpoint']} was replaced by "
-                f"{', '.join(recovery['replacement'])}: {way} replayed, "
+                f"{', '.join(recovery['replacement'])}: {scope} replayed, "
                 f"{recovery['replayed_positions']} positions, "
-                f"{recovery['seconds'] * 1000:.0f} ms from loss seen to token"
+                f"{recovery['seconds'] * 1000:.0f} ms from detection to token"
             )
-        self._note(bool(answer.details.get("recoveries")))
-        times = answer.arrivals
-        gap = max(b - a for a, b in itertools.pairwise(times))
-        print(f"  recovery as the caller saw it: {gap:.3f} s without a token")
+        self._record_check(bool(answer.details.get("recoveries")))
+        arrivals = answer.arrivals
+        gap_s = max(b - a for a, b in itertools.pairwise(arrivals))
+        print(
+            f"  recovery as seen by the caller: {gap_s:.3f} s without a token"
+        )
 
     async def _kill_busiest(self) -> None:
         name = max(
             self.system.engines,
             key=lambda n: len(self.system.engines[n].table),
         )
-        print(f"  after {KILL_AFTER} tokens: {name} is taken away")
+        print(f"  after {KILL_AFTER_TOKENS} tokens: {name} is killed")
         await self.system.kill_engine(name)
 
     def _check(
@@ -172,17 +174,17 @@
         expected = reference.complete(
             MODEL, VERSION, "", LAYERS, self.tokenizer.encode(prompt), count
         )
-        right = answer.whole and tuple(answer.tokens) == expected
-        self._note(right)
+        correct = answer.whole and tuple(answer.tokens) == expected
+        self._record_check(correct)
         if answer.problem:
             print(f"  problem: {answer.problem}")
-        verdict = "equal to the reference" if right else "WRONG"
+        verdict = "equal to the reference" if correct else "WRONG"
         print(f"  answer: {answer.text!r}")
         print(
             f"  {len(answer.tokens)} tokens in {answer.seconds:.3f} s,", verdict
         )
 
-    def _show_stages(self, answer: http_caller.CallerAnswer) -> None:
+    def _print_stages(self, answer: http_caller.CallerAnswer) -> None:
         for stage in answer.details.get("stages", []):
             print(
                 f"  epoch {stage['epoch']}: {stage['endpoint']:8} layers "
@@ -190,19 +192,19 @@
                 f"{stage['seconds'] * 1000:.0f} ms"
             )
 
-    def _note(self, right: bool) -> None:
-        self.all_right = self.all_right and right
+    def _record_check(self, correct: bool) -> None:
+        self.all_correct = self.all_correct and correct
 
 
 def run(*, keep: bool) -> int:
-    """Runs the demo; returns 0 only if every answer was right."""
+    """Runs the demo; returns 0 only if every answer was correct."""
     return asyncio.run(_run(keep))
 
 
 async def _run(keep: bool) -> int:
     system = embedded.create_embedded_system(
         embedded.EmbeddedSettings(
-            text=sample_text(),
+            config_text=sample_config_text(),
             nodes=3,
             engines=engines(),
             plain=("portal", "confirmations"),
@@ -212,18 +214,18 @@
     await demo.start()
     try:
         await demo.run()
-        verdict = "right" if demo.all_right else "NOT right"
+        verdict = "correct" if demo.all_correct else "NOT correct"
         print(f"\nAll answers were {verdict}.")
         if keep:
-            await _stay(system)
+            await _wait_for_signal(system)
     finally:
         await demo.close()
-    return 0 if demo.all_right else 1
+    return 0 if demo.all_correct else 1
 
 
-async def _stay(system: embedded.EmbeddedSystem) -> None:
+async def _wait_for_signal(system: embedded.EmbeddedSystem) -> None:
     address = system.entry_addresses()[0]
-    print("\nThe system stays up until Ctrl-C. Try:")
+    print("\nThe system keeps running until Ctrl-C. Try:")
     print(f"  curl http://{address}/v1/entries")
     print(
         f"  curl -N http://{address}/v1/completions "
--- a/src/almondshift/daemons/embedded.py
+++ b/src/almondshift/daemons/embedded.py
@@ -1,6 +1,6 @@
-"""A whole system in one process, on one loop, over loopback sockets.
+"""A whole system in one process, on one event loop, over loopback sockets.
 
-For the demo, benches and tests that need no separate processes.
+For the demo, benchmarks and tests that need no separate processes.
 """
 
 from __future__ import annotations
@@ -55,7 +55,7 @@
 poll_s = {poll_s}
 lease_s = {lease_s}
 """
-"""A node's settings for a system on one machine, to be formatted."""
+"""Template of a node's settings, for a system on one machine."""
 
 OPERATOR_SECRET = "embedded-operator"
 PEER_SECRET = "embedded-peers"
@@ -64,17 +64,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EmbeddedSettings:
-    """What to start.
+    """Configuration of an embedded system.
 
     Attributes:
-        text: The operators' text to apply.
+        config_text: Configuration text to apply.
         nodes: Number of nodes.
-        engines: Settings of each engine stand-in.
-        plain: Names of plain services; two endpoints of each.
-        choices: Builds a node's decisions.
+        engines: Settings for each engine stand-in.
+        plain: Names of plain services; each gets two endpoints.
+        choices: Creates a node's router, planner and related settings.
     """
 
-    text: str
+    config_text: str
     nodes: int
     engines: tuple[engine_settings.EngineSettings, ...]
     plain: tuple[str, ...] = ()
@@ -90,7 +90,7 @@
 
 
 class EmbeddedSystem:
-    """The running parts, by name."""
+    """Stand-in servers and nodes of a running system, by name."""
 
     def __init__(self, settings: EmbeddedSettings) -> None:
         self.settings = settings
@@ -102,7 +102,7 @@
         self.nodes: dict[str, node_daemon.NodeProcess] = {}
 
     async def start(self) -> None:
-        """Starts the stand-ins, then the nodes, then applies the text."""
+        """Starts the stand-ins and the nodes, then applies the config text."""
         self._write_secrets()
         await self.platform.start()
         for settings in self.settings.engines:
@@ -112,10 +112,10 @@
                 await self._add_plain(service, f"{service}-{index + 1}", zone)
         for index in range(self.settings.nodes):
             await self.add_node(f"node-{index + 1}", ZONES[index % len(ZONES)])
-        await self._apply(self.settings.text)
+        await self._apply_config(self.settings.config_text)
 
     async def close(self) -> None:
-        """Closes what still runs."""
+        """Closes all servers and nodes that still run."""
         for node in self.nodes.values():
             await node.close()
         for engine in self.engines.values():
@@ -128,7 +128,7 @@
     async def add_engine(
         self, settings: engine_settings.EngineSettings
     ) -> engine_server.EngineServer:
-        """Starts an engine; it puts itself on the platform's list."""
+        """Starts an engine and registers it with the platform."""
         settings.platform = self.platform.address
         engine = engine_server.create_engine(settings)
         await engine.start()
@@ -137,7 +137,7 @@
         return engine
 
     async def kill_engine(self, name: str) -> None:
-        """Takes an engine away without a word."""
+        """Closes an engine without draining or deregistering it."""
         await self.engines.pop(name).close()
 
     async def add_node(self, name: str, zone: str) -> node_daemon.NodeProcess:
@@ -158,15 +158,15 @@
     async def wait_until(
         self, condition: Callable[[], bool], seconds: float, what: str
     ) -> None:
-        """Waits for a condition.
+        """Waits until a condition holds.
 
         Raises:
-            TimeoutError: It did not hold in time; names ``what``.
+            TimeoutError: It did not hold in time; the message has ``what``.
         """
-        end = time.monotonic() + seconds
+        deadline = time.monotonic() + seconds
         while not condition():
-            if time.monotonic() > end:
-                raise TimeoutError(f"not within {seconds} s: {what}")
+            if time.monotonic() > deadline:
+                raise TimeoutError(f"timed out after {seconds} s: {what}")
             await self.clock.sleep(0.02)
 
     async def wait_ready(self, *services: str, seconds: float = 20.0) -> None:
@@ -184,21 +184,21 @@
     async def wait_peers(self, seconds: float = 20.0) -> None:
         """Waits until every node knows all others."""
 
-        def known() -> bool:
+        def all_known() -> bool:
             others = len(self.nodes) - 1
             return all(
                 len(node.node.membership.peers()) == others
                 for node in self.nodes.values()
             )
 
-        await self.wait_until(known, seconds, "all peers known")
+        await self.wait_until(all_known, seconds, "all peers known")
 
-    async def _apply(self, text: str) -> None:
+    async def _apply_config(self, text: str) -> None:
         first = next(iter(self.nodes.values())).node
-        answer = await first.operations.apply_config(
+        result = await first.operations.apply_config(
             text, 0, "first", "embedded"
         )
-        match answer:
+        match result:
             case expression.Result(tag="ok"):
                 pass
             case expression.Result(error=error):
@@ -260,5 +260,5 @@
 
 
 def create_embedded_system(settings: EmbeddedSettings) -> EmbeddedSystem:
-    """Builds a system; not started yet."""
+    """Creates a system without starting it."""
     return EmbeddedSystem(settings)
--- a/src/almondshift/daemons/node.py
+++ b/src/almondshift/daemons/node.py
@@ -1,4 +1,4 @@
-"""The node's daemon: read settings, build, start, wait for a signal, close."""
+"""The node's daemon: reads settings, starts a node, stops it on a signal."""
 
 from __future__ import annotations
 
@@ -38,11 +38,11 @@
     from almondshift.policy import routers
 
 STORE_TIMEOUT_S = 1.0
-ENGINE_CONNECTIONS = 256
+MAX_ENGINE_CONNECTIONS = 256
 
 
 class NodeProcess:
-    """A node with its adapters over real sockets.
+    """A node with its network adapters.
 
     Attributes:
         node: The application.
@@ -65,7 +65,7 @@
             address, STORE_TIMEOUT_S
         )
         self.vm_list = platform_store.create_vm_list(address, STORE_TIMEOUT_S)
-        self.engines = http_engine.create_factory(ENGINE_CONNECTIONS)
+        self.engines = http_engine.create_factory(MAX_ENGINE_CONNECTIONS)
         self.plain = http_plain_service.create_plain_service()
         ports = application.NodePorts(
             clock=clock,
@@ -100,7 +100,7 @@
         )
 
     async def start(self) -> None:
-        """Listens, then starts the node's parts."""
+        """Starts the adapters, which opens the listener, then the node."""
         await self.table.start()
         await self.objects.start()
         await self.vm_list.start()
@@ -115,12 +115,12 @@
             )
 
     async def stop_gracefully(self) -> None:
-        """Tells callers to go, and waits for what is in flight."""
+        """Directs callers to other nodes and drains in-flight requests."""
         self.front.keep_no_connections()
         await self.node.stop_gracefully()
 
     async def close(self) -> None:
-        """Closes all, listeners last."""
+        """Closes the node, then its adapters."""
         await self.node.close()
         await self.front.close()
         await self.plain.close()
@@ -135,15 +135,15 @@
     choices: application.NodeChoices,
     rng: random.Random,
 ) -> NodeProcess:
-    """Builds a node with its adapters; not started yet.
+    """Creates a node with its adapters, without starting it.
 
     Raises:
-        errors.ConfigInvalid: A secret can't be read.
+        errors.ConfigInvalid: A secret cannot be read.
     """
-    peer_secret = _value(
+    peer_secret = _unwrap(
         keys.read_secret(settings.peer_secret_file, "peers", "secret_file")
     )
-    operator_secret = _value(
+    operator_secret = _unwrap(
         keys.read_secret(
             settings.operator_secret_file, "operators", "secret_file"
         )
@@ -154,7 +154,7 @@
 def create_choices(
     settings: node_settings.NodeSettings, rng: random.Random
 ) -> application.NodeChoices:
-    """Returns the decisions that a node runs with."""
+    """Returns the router, planner and other choices from the settings."""
     return application.NodeChoices(
         router=_create_router(settings, rng),
         planner=planners.create_flow_planner(),
@@ -180,7 +180,7 @@
 
     Args:
         path: The settings file.
-        port_file: Overrides the settings' port file, if not empty.
+        port_file: Overrides the port file in the settings, if not empty.
     """
     loaded = node_settings.load(path)
     if loaded.is_error():
@@ -210,7 +210,7 @@
     await process.close()
 
 
-def _value(
+def _unwrap(
     result: expression.Result[keys.Secret, errors.ConfigInvalid],
 ) -> keys.Secret:
     if result.is_error():
--- a/src/almondshift/daemons/relay.py
+++ b/src/almondshift/daemons/relay.py
@@ -1,4 +1,4 @@
-"""The relay node's daemon: wires the platform to the application."""
+"""The relay node's daemon: connects platform adapters and application."""
 
 from __future__ import annotations
 
@@ -33,11 +33,11 @@
     from almondshift.ports import peers
 
 SETTINGS_VARIABLE = "ALMONDSHIFT_SETTINGS"
-ENGINE_CONNECT_S = 0.4
-"""A live engine in the region accepts within some ms."""
+ENGINE_CONNECT_TIMEOUT_S = 0.4
+"""A live engine in the same region accepts within a few milliseconds."""
 
 STATUS_PATH = "/v1/admin/status"
-"""Where ``almondshift status`` asks; the same as of the product's own nodes."""
+"""Path that ``almondshift status`` requests, on relay and other nodes."""
 
 JSON_TYPE = "application/json"
 METRICS_TYPE = "text/plain; version=0.0.4"
@@ -48,12 +48,14 @@
 
 
 class RelayProcess:
-    """A relay node with its adapters over real sockets."""
+    """A relay node with its network adapters."""
 
     def __init__(self, settings: relay_settings.RelaySettings) -> None:
         rng = random.Random()
         self.store_pool = http_channels.create_channel_pool()
-        self.engine_pool = http_channels.create_channel_pool(ENGINE_CONNECT_S)
+        self.engine_pool = http_channels.create_channel_pool(
+            ENGINE_CONNECT_TIMEOUT_S
+        )
         platform_store = store.create_platform_store(
             settings.platform.address, self.store_pool
         )
@@ -83,7 +85,7 @@
             relay, entry.address, limits.idle_timeout_s, limits.header_bytes
         )
         self.node.is_front_idle = self.front.is_idle
-        self.node.catalogue.on_config.append(self.limit_callers)
+        self.node.catalogue.on_config.append(self.apply_caller_limits)
         self.listeners = [
             front.create_directory(relay, address, entry.directory_hold_s)
             for address in {entry.ready_address, entry.directory_address}
@@ -96,37 +98,37 @@
             )
 
     def create_link(self, secret: str) -> peers.PeerLink:
-        """Creates the link to peers."""
+        """Creates the network link to peers."""
         host, _, port = self.settings.peers.address.rpartition(":")
         return peer_link.create_peer_link(host, int(port), secret)
 
-    def limit_callers(self) -> None:
-        """Puts the operators' limits of callers in force."""
+    def apply_caller_limits(self) -> None:
+        """Applies the caller limits from the current configuration."""
         limits = self.node.gateway.limits()
         self.front.limit(limits.idle_timeout_s, limits.header_bytes)
 
     def metrics(self, target: str) -> http_listener.ShortAnswer:
-        """Answers Prometheus, and operators that ask for the status."""
+        """Serves Prometheus metrics, and the node's status to operators."""
         if target.partition("?")[0] == STATUS_PATH:
-            described = json.dumps(status.describe(self.node)).encode()
-            return http_listener.ShortAnswer(200, JSON_TYPE, described)
+            body_json = json.dumps(status.describe(self.node)).encode()
+            return http_listener.ShortAnswer(200, JSON_TYPE, body_json)
         body = self.node.shared.observer.expose()
         return http_listener.ShortAnswer(200, METRICS_TYPE, body)
 
     async def start(self) -> None:
-        """Listens, then starts the node's parts."""
+        """Opens the listeners, then starts the node."""
         await self.front.start()
         for listener in self.listeners:
             await listener.start()
         await self.node.start()
 
     async def stop_gracefully(self) -> None:
-        """Takes leave of callers."""
+        """Ends keep-alive connections and drains in-flight requests."""
         self.front.keep_no_connections()
         await self.node.stop_gracefully()
 
     async def close(self) -> None:
-        """Closes all, listeners last."""
+        """Closes the node, then its listeners and connections."""
         await self.node.close()
         await self.front.close()
         for listener in self.listeners:
@@ -136,7 +138,7 @@
 
 
 def run(path: str) -> int:
-    """Runs a node until SIGTERM or SIGINT; returns the exit code."""
+    """Runs a relay node until SIGTERM or SIGINT; returns the exit code."""
     loaded = relay_settings.load(path)
     if loaded.is_error():
         print(f"almondshift relay: {loaded.error}", file=sys.stderr)
@@ -159,7 +161,7 @@
     for number in STOP_SIGNALS:
         loop.add_signal_handler(number, stop.set)
     loop.add_signal_handler(signal.SIGHUP, _reload, path, process)
-    # One that came during the start was held back by the launcher.
+    # start_relay blocks SIGHUP; a signal sent during startup is pending.
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
     await process.start()
     await stop.wait()
@@ -169,13 +171,13 @@
 
 
 def _ignore_signals(loop: asyncio.AbstractEventLoop) -> None:
-    """Lets the process end by itself from here on.
+    """Ignores further signals until the process exits.
 
-    The loop's end gives signals back to their default action. A reload or a
-    second stop in the tens of milliseconds until the interpreter's end would
+    Closing the loop restores the default signal actions. A reload or a second
+    stop signal in the tens of milliseconds until the interpreter exits would
     then end the process with the signal's exit code, which supervisors take
-    for a crash. The signals are blocked meanwhile, so that there is no moment
-    at which the default action is in force.
+    for a crash. The signals are blocked during the change, so that the
+    default action is never in effect.
     """
     handled = (*STOP_SIGNALS, signal.SIGHUP)
     signal.pthread_sigmask(signal.SIG_BLOCK, handled)
@@ -185,19 +187,21 @@
 
 
 def _reload(path: str, process: RelayProcess) -> None:
-    """Reads the settings again; what may change at run time is taken over."""
+    """Reloads the settings; those read at run time take effect."""
     loaded = relay_settings.load(path)
     if loaded.is_error():
-        log_events.emit(logger, log_events.NodeReloaded(f"not: {loaded.error}"))
+        log_events.emit(
+            logger, log_events.NodeReloaded(f"rejected: {loaded.error}")
+        )
         return
-    fresh, former = loaded.ok, process.settings
+    new, old = loaded.ok, process.settings
     changed = [
         name
-        for name in fresh.__struct_fields__
-        if getattr(fresh, name) != getattr(former, name)
+        for name in new.__struct_fields__
+        if getattr(new, name) != getattr(old, name)
     ]
-    process.settings = fresh
-    process.node.settings = fresh
+    process.settings = new
+    process.node.settings = new
     log_events.emit(logger, log_events.NodeReloaded(",".join(changed)))
 
 
--- a/src/almondshift/daemons/start_relay.py
+++ b/src/almondshift/daemons/start_relay.py
@@ -1,14 +1,15 @@
-"""Starts the relay node so that no early signal ends it.
-
-A reload of the settings that comes while Python imports the program, for
-about half a second, would meet the default action of SIGHUP and end the
-process; supervisors count a crash, and the VM is back a second later. So
-the signal is held back until the program can take it, and none is lost.
-Nothing is imported here before; only the interpreter's own start, some 20 ms,
-is left.
-
-Nothing that is imported is garbage, so the collector rests meanwhile, and
-passes over it for good afterwards: callers wait for a node that restarts.
+"""Starts the relay node so that a SIGHUP during startup does not end it.
+
+Importing the program takes about half a second. A SIGHUP (settings reload)
+in that time would have its default action and end the process; supervisors
+would count a crash, and the VM would be back a second later. So the signal is
+blocked until the program has installed its handler, and none is lost. This
+module imports nothing of the program before that; only the interpreter's own
+startup, about 20 ms, is unprotected.
+
+Imported objects are never garbage, so the garbage collector is disabled
+during the import and ignores them afterwards. This shortens a restart, for
+which callers wait.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 if TYPE_CHECKING:
     import types
 
-PROGRAM = "almondshift.daemons.relay"
+PROGRAM_MODULE = "almondshift.daemons.relay"
 
 
 def main() -> int:
@@ -37,7 +38,7 @@
     """Imports the program without garbage collection."""
     gc.disable()
     try:
-        return importlib.import_module(PROGRAM)
+        return importlib.import_module(PROGRAM_MODULE)
     finally:
         gc.freeze()
         gc.enable()
--- a/tests/console/test_application.py
+++ b/tests/console/test_application.py
@@ -52,8 +52,8 @@
     capsys: pytest.CaptureFixture[str],
     monkeypatch: pytest.MonkeyPatch,
 ) -> Iterator[Console]:
-    monkeypatch.setattr(applying, "ASK_TIMES", 2)
-    monkeypatch.setattr(applying, "ASK_EVERY_S", 0.01)
+    monkeypatch.setattr(applying, "READ_BACK_ATTEMPTS", 2)
+    monkeypatch.setattr(applying, "READ_BACK_INTERVAL_S", 0.01)
     calls = fake_operations.FakeOperations()
     with fake_operations.serve(calls) as node:
         yield Console(tmp_path, capsys, node, calls)
