--- a/src/almondshift/console/commands/burn.py
+++ b/src/almondshift/console/commands/burn.py
@@ -68,8 +68,8 @@
     seeds = nodes.read_addresses(args)
     client = nodes.create_client(args)
     try:
-        statuses = await nodes.statuses(client, seeds)
-        addresses = [result.address for result in statuses]
+        status_results = await nodes.statuses(client, seeds)
+        addresses = [result.address for result in status_results]
         return await nodes.call_all(addresses, client.burn)
     finally:
         client.close()
--- a/src/almondshift/console/nodes.py
+++ b/src/almondshift/console/nodes.py
@@ -142,7 +142,7 @@
         [str], Awaitable[expression.Result[ValueT, errors.AlmondshiftError]]
     ],
 ) -> list[NodeResult[ValueT]]:
-    """Calls nodes concurrently; returns results in the nodes' order."""
+    """Calls nodes with bounded concurrency; returns results in their order."""
     slots = asyncio.Semaphore(MAX_CONCURRENT_CALLS)
 
     async def call_one(address: str) -> NodeResult[ValueT]:
@@ -170,7 +170,7 @@
 def _without_aliases(
     results: list[NodeResult[dict[str, Any]]],
 ) -> list[NodeResult[dict[str, Any]]]:
-    """Drops duplicates of a node that was reached at several addresses."""
+    """Counts a node that was reached at several addresses only once."""
     seen: set[str] = set()
     kept = []
     for result in results:
--- a/src/almondshift/daemons/demo.py
+++ b/src/almondshift/daemons/demo.py
@@ -217,13 +217,13 @@
         verdict = "correct" if demo.all_correct else "NOT correct"
         print(f"\nAll answers were {verdict}.")
         if keep:
-            await _wait_for_signal(system)
+            await _keep_running(system)
     finally:
         await demo.close()
     return 0 if demo.all_correct else 1
 
 
-async def _wait_for_signal(system: embedded.EmbeddedSystem) -> None:
+async def _keep_running(system: embedded.EmbeddedSystem) -> None:
     address = system.entry_addresses()[0]
     print("\nThe system keeps running until Ctrl-C. Try:")
     print(f"  curl http://{address}/v1/entries")
--- a/src/almondshift/daemons/node.py
+++ b/src/almondshift/daemons/node.py
@@ -115,7 +115,7 @@
             )
 
     async def stop_gracefully(self) -> None:
-        """Directs callers to other nodes and drains in-flight requests."""
+        """Ends keep-alive connections and drains in-flight requests."""
         self.front.keep_no_connections()
         await self.node.stop_gracefully()
 
--- a/tests/console/test_application.py
+++ b/tests/console/test_application.py
@@ -18,7 +18,7 @@
     from collections.abc import Iterator
     import pathlib
 
-DEAD = "127.0.0.1:1"
+UNREACHABLE_NODE = "127.0.0.1:1"
 
 
 class Console:
@@ -40,8 +40,8 @@
         self.secret.write_text(fake_operations.SECRET)
 
     def run(self, *args: str, node: str = "") -> tuple[int, str, str]:
-        where = ["--node", node or self.node, "--secret-file", self.secret]
-        code = application.main([*args, *map(str, where)])
+        options = ["--node", node or self.node, "--secret-file", self.secret]
+        code = application.main([*args, *map(str, options)])
         printed = self.capsys.readouterr()
         return code, printed.out, printed.err
 
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize(
-    ("lose", "rival", "base", "code", "says"),
+    ("lost_response", "concurrent_change", "base", "code", "expected_text"),
     [
         ("", False, [], exit_codes.ExitCode.OK, "accepted as version 2"),
         ("", False, ["--base", "7"], exit_codes.ExitCode.CONFLICT,
@@ -74,33 +74,33 @@
 )  # fmt: skip
 def test_apply(
     console: Console,
-    lose: str,
-    rival: bool,
+    lost_response: str,
+    concurrent_change: bool,
     base: list[str],
     code: int,
-    says: str,
+    expected_text: str,
 ) -> None:
-    """The operator learns what became of a change, whatever got lost.
+    """The operator learns the outcome of a change if a response is lost.
 
-    The store's answer is lost before or after the write, and another
-    operator's change may come first. Lost after the write: the change is
-    found by its id. Lost before: its absence proves nothing, as the write
-    may still arrive, unless another change has taken its version.
+    The store's response is lost before or after the write, and another
+    operator's change may be accepted first. After the write, the change is
+    found by its id. Before it, the absence of the change proves nothing, as
+    the write may still arrive, unless another change has its version.
     """
-    console.calls.lose = lose
-    console.calls.rival = rival
+    console.calls.lost_response = lost_response
+    console.calls.concurrent_change = concurrent_change
     apply = ["config", "apply", str(console.fleet), *base]
-    got, out, err = console.run(*apply)
-    assert got == code
-    assert says in out + err
+    exit_code, out, err = console.run(*apply)
+    assert exit_code == code
+    assert expected_text in out + err
     change_id = re.search(r"change id (\w+)", err)
     assert change_id
-    found, _, _ = console.run("config", "history", "--change-id",
+    history_code, _, _ = console.run("config", "history", "--change-id",
                               change_id[1])  # fmt: skip
-    assert (found == 0) is (code == 0)
+    assert (history_code == 0) is (code == 0)
 
 
-def test_apply_sends_no_invalid_text(console: Console) -> None:
+def test_apply_does_not_send_an_invalid_text(console: Console) -> None:
     console.fleet.write_text(samples.TEXT.replace("kind =", "kid ="))
     code, _, err = console.run("config", "apply", str(console.fleet))
     assert code == exit_codes.ExitCode.FAILED
@@ -121,13 +121,15 @@
     assert json.loads(out)[0]["change_id"] == "c1"
 
 
-def test_status_asks_all_nodes_and_names_the_silent(console: Console) -> None:
-    console.calls.nodes = [{"entry": console.node}, {"entry": DEAD}]
+def test_status_lists_all_nodes_and_the_unreachable_ones(
+    console: Console,
+) -> None:
+    console.calls.nodes = [{"entry": console.node}, {"entry": UNREACHABLE_NODE}]
     code, out, err = console.run("status")
     assert code == exit_codes.ExitCode.UNREACHABLE
     assert re.search(rf"n1 +zone-a +{console.node} +1 +yes +n1 #7 +ok", out)
     assert "0-12" in out
-    assert f"no answer from {DEAD}" in err
+    assert f"no answer from {UNREACHABLE_NODE}" in err
     console.calls.nodes = []
     code, out, _ = console.run("status", "--json")
     assert code == 0
@@ -135,10 +137,10 @@
     assert row["status"]["node"] == "n1"
 
 
-def test_a_dead_node_named_first_is_passed_over(console: Console) -> None:
-    code, out, _ = console.run("config", "show", "--node", DEAD)
+def test_an_unreachable_first_node_is_skipped(console: Console) -> None:
+    code, out, _ = console.run("config", "show", "--node", UNREACHABLE_NODE)
     assert (code, out) == (0, samples.TEXT)
-    code, _, err = console.run("config", "show", node=DEAD)
+    code, _, err = console.run("config", "show", node=UNREACHABLE_NODE)
     assert code == exit_codes.ExitCode.UNREACHABLE
     assert "remedy" in err
 
@@ -147,17 +149,17 @@
     counts = console.calls.counts
     counts.record_whole("advice", "members-app", "<overloaded>")
     counts.record_whole("advice", "members-app")
-    console.calls.nodes = [{"entry": DEAD}]
+    console.calls.nodes = [{"entry": UNREACHABLE_NODE}]
     code, out, _ = console.run("burn")
     assert code == exit_codes.ExitCode.UNREACHABLE
     assert re.search(r"advice +whole +0.99 +-4900.0% +fast +50.00", out)
-    assert f"NOT COUNTED, no answer: {DEAD}" in out
+    assert f"NOT COUNTED, no answer: {UNREACHABLE_NODE}" in out
     console.calls.nodes = []
     code, out, _ = console.run("burn", "--json")
     assert code == 0
     bad = {
-        (one["service"], one["objective"]): one["rates"][0]["bad"]
-        for one in json.loads(out)["burns"]
+        (item["service"], item["objective"]): item["rates"][0]["bad"]
+        for item in json.loads(out)["burns"]
     }
     assert bad["advice", "whole"] == 1
     page = tmp_path / "burn.html"
@@ -171,14 +173,19 @@
 
 
 @pytest.mark.parametrize(
-    ("args", "stdin", "code", "says"),
+    ("args", "stdin", "code", "expected_text"),
     [
         (["keys", "hash"], "demo-members-key\n", 0, "sha256:56563f62"),
         (["keys", "hash"], "\n", 2, "no key"),
         (["keys", "hash"], "p\xe4ss\n", 2, "not ASCII"),
         (["status"], "", 2, "--node"),
-        (["status", "--node", DEAD], "", 2, "--secret-file"),
-        (["status", "--node", DEAD, "--secret-file", "/x/y"], "", 1, "read"),
+        (["status", "--node", UNREACHABLE_NODE], "", 2, "--secret-file"),
+        (
+            ["status", "--node", UNREACHABLE_NODE, "--secret-file", "/x/y"],
+            "",
+            1,
+            "read",
+        ),
         (["config", "check", "/x/y"], "", 1, "cannot be read"),
         (["version"], "", 0, "0."),
     ],
@@ -187,7 +194,7 @@
     args: list[str],
     stdin: str,
     code: int,
-    says: str,
+    expected_text: str,
     capsys: pytest.CaptureFixture[str],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -196,13 +203,13 @@
     monkeypatch.setattr("sys.stdin", io.StringIO(stdin))
     assert application.main(args) == code
     printed = capsys.readouterr()
-    assert says in printed.out + printed.err
+    assert expected_text in printed.out + printed.err
 
 
 def test_wrong_usage_and_help(capsys: pytest.CaptureFixture[str]) -> None:
-    with pytest.raises(SystemExit) as ended:
+    with pytest.raises(SystemExit) as raised:
         application.main(["configure"])
-    assert ended.value.code == exit_codes.ExitCode.USAGE
+    assert raised.value.code == exit_codes.ExitCode.USAGE
     for command in ("config", "status", "burn"):
         with pytest.raises(SystemExit):
             application.main([command, "--help"])
--- a/tests/console/test_trace.py
+++ b/tests/console/test_trace.py
@@ -28,23 +28,27 @@
 
 
 @pytest.fixture
-def log(tmp_path: pathlib.Path) -> str:
+def log_path(tmp_path: pathlib.Path) -> str:
     texts = [f"  0.1 n {json.dumps(line)}" for line in LINES]
     path = tmp_path / "log"
     path.write_text("\n".join(["no json {", "plain text", *texts]))
     return str(path)
 
 
-def test_trace_shows_the_request_and_its_endpoints_by_time(
-    log: str, capsys: pytest.CaptureFixture[str]
+def test_trace_shows_the_request_and_its_endpoints_in_time_order(
+    log_path: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    assert application.main(["trace", "r1", log]) == 0
-    shown = capsys.readouterr().out.splitlines()
-    assert [line.split()[2] for line in shown] == ["AS5008", "AS4004", "AS5003"]
+    assert application.main(["trace", "r1", log_path]) == 0
+    printed = capsys.readouterr().out.splitlines()
+    assert [line.split()[2] for line in printed] == [
+        "AS5008",
+        "AS4004",
+        "AS5003",
+    ]
 
 
-def test_trace_of_an_unknown_request_names_the_remedy(
-    log: str, capsys: pytest.CaptureFixture[str]
+def test_trace_of_an_unknown_request_suggests_a_remedy(
+    log_path: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    assert application.main(["trace", "r9", log]) == 1
+    assert application.main(["trace", "r9", log_path]) == 1
     assert "logs of all nodes" in capsys.readouterr().err
--- a/tests/fake_operations.py
+++ b/tests/fake_operations.py
@@ -1,6 +1,6 @@
-"""Operators' calls kept in memory, and served from another thread.
+"""An in-memory implementation of operators' calls, served from a thread.
 
-The commands run a loop of their own, so the node that they call has to be
+The commands run their own event loop, so the node that they call has to run
 on another thread.
 """
 
@@ -31,7 +31,7 @@
 SECRET = "operators-secret"
 
 
-class SteadyClock(clocks.Clock):
+class ConstantClock(clocks.Clock):
     def monotonic(self) -> float:
         return 1_000_000.0
 
@@ -43,17 +43,23 @@
 
 
 class FakeOperations(operations.Operations):
-    """Accepts versions; ``lose`` makes it close without an answer."""
+    """Keeps versions in memory.
+
+    Attributes:
+        lost_response: ``before`` or ``after`` the write, when the store's
+            response is lost; empty for never.
+        concurrent_change: Whether another change is accepted first.
+    """
 
     def __init__(self) -> None:
-        self.versions = [self.make(1, samples.TEXT, "c1")]
-        self.lose: str = ""
-        self.rival = False
+        self.versions = [self.create_version(1, samples.TEXT, "c1")]
+        self.lost_response: str = ""
+        self.concurrent_change = False
         self.nodes: list[dict[str, Any]] = []
-        self.counts = objectives.create_objective_counts(SteadyClock())
+        self.counts = objectives.create_objective_counts(ConstantClock())
         self.counts.use(samples.sample_fleet())
 
-    def make(
+    def create_version(
         self, version: int, text: str, change_id: str
     ) -> operations.ConfigVersion:
         return operations.ConfigVersion(version, text, change_id, "a", 0, True)
@@ -61,15 +67,15 @@
     async def apply_config(
         self, text: str, base: int, change_id: str, author: str
     ) -> expression.Result[operations.ConfigVersion, errors.AlmondshiftError]:
-        if self.rival:
-            self.versions.append(self.make(base + 1, text, "rival"))
+        if self.concurrent_change:
+            self.versions.append(self.create_version(base + 1, text, "rival"))
         if base != self.versions[-1].version:
-            if self.lose:
+            if self.lost_response:
                 return expression.Error(errors.StoreOutcomeUnknown("Lost."))
             return expression.Error(errors.ConfigConflict("Too late."))
-        if self.lose != "before":
-            self.versions.append(self.make(base + 1, text, change_id))
-        if self.lose:
+        if self.lost_response != "before":
+            self.versions.append(self.create_version(base + 1, text, change_id))
+        if self.lost_response:
             return expression.Error(errors.StoreOutcomeUnknown("Lost."))
         return expression.Ok(self.versions[-1])
 
@@ -78,9 +84,9 @@
     ) -> expression.Result[operations.ConfigVersion, errors.AlmondshiftError]:
         if version == 99:
             raise ValueError("a fault with a path")
-        for known in reversed(self.versions):
-            if version in (None, known.version):
-                return expression.Ok(known)
+        for item in reversed(self.versions):
+            if version in (None, item.version):
+                return expression.Ok(item)
         return expression.Error(errors.MalformedRequest("No such version."))
 
     async def config_history(
@@ -108,8 +114,8 @@
 
 @contextlib.contextmanager
 def serve(calls: operations.Operations) -> Iterator[str]:
-    """Yields the ``host:port`` at which the calls are answered."""
-    bound: list[int] = []
+    """Serves the calls; yields the server's ``host:port``."""
+    ports: list[int] = []
     ready = threading.Event()
     loops: list[asyncio.AbstractEventLoop] = []
     stopping: list[asyncio.Event] = []
@@ -120,7 +126,7 @@
         routes = http_operations.create_routes(calls, keys.Secret(SECRET))
         server = tornado.httpserver.HTTPServer(tornado.web.Application(routes))
         sockets = tornado.netutil.bind_sockets(0, "127.0.0.1")
-        bound.append(sockets[0].getsockname()[1])
+        ports.append(sockets[0].getsockname()[1])
         server.add_sockets(sockets)
         ready.set()
         await stopping[0].wait()
@@ -131,7 +137,7 @@
     thread.start()
     assert ready.wait(10)
     try:
-        yield f"127.0.0.1:{bound[0]}"
+        yield f"127.0.0.1:{ports[0]}"
     finally:
         loops[0].call_soon_threadsafe(stopping[0].set)
         thread.join(10)
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -24,7 +24,7 @@
 PAGES = sorted(DOCS.rglob("*.md"))
 LINK = re.compile(r"\]\(([^)#:]+)\)")
 BLOCK = re.compile(r"```(\w+)\n(.*?)```", re.S)
-NEEDS_A_SYSTEM = "--node "
+RUNNING_SYSTEM_OPTION = "--node "
 
 
 def _rows(page: str, width: int) -> list[list[str]]:
@@ -44,15 +44,15 @@
     del rows["kind"], rows["---"]
     assert set(rows) == set(_errors())
     for kind, error in _errors().items():
-        status, execution, again, remedy = rows[kind]
+        status, execution, retry, remedy = rows[kind]
         assert status == str(error.status)
         if kind != "internal":
             assert execution == f"`{error.default_execution.value}`"
-        assert again
+        assert retry
         if kind != "config_invalid":
             assert remedy == error.default_remedy
-    fault = problems.render(ValueError(), "").body
-    assert f'"execution": "{rows["internal"][1].strip("`")}"'.encode() in fault
+    body = problems.render(ValueError(), "").body
+    assert f'"execution": "{rows["internal"][1].strip("`")}"'.encode() in body
 
 
 def _default(value: object) -> str:
@@ -78,13 +78,13 @@
     page = (DOCS / "settings.md").read_text()
     for kind, model in kinds.items():
         title = " ".join((kind, *arguments.get(kind, ())))
-        part = page.partition(f"### `[{title}]`\n")[2]
-        part = re.split(r"^##", part, flags=re.M)[0]
+        section = page.partition(f"### `[{title}]`\n")[2]
+        section = re.split(r"^##", section, flags=re.M)[0]
         fields = model.model_fields  # type: ignore[attr-defined]
-        wanted = [f"| `{name}` | {_default(field.default)} | "
+        expected = [f"| `{name}` | {_default(field.default)} | "
                   f"{field.description} |"
                   for name, field in fields.items()]  # fmt: skip
-        assert re.findall(r"^\| `.*$", part, re.M) == wanted
+        assert re.findall(r"^\| `.*$", section, re.M) == expected
 
 
 def test_metrics_page_has_every_metric() -> None:
@@ -102,12 +102,12 @@
 
 
 @pytest.mark.parametrize("page", PAGES, ids=str)
-def test_links_lead_somewhere(page: pathlib.Path) -> None:
+def test_link_targets_exist(page: pathlib.Path) -> None:
     for target in LINK.findall(page.read_text()):
         assert (page.parent / target).exists(), target
 
 
-def test_index_leads_to_every_page() -> None:
+def test_index_links_to_every_page() -> None:
     index = (DOCS / "index.md").read_text()
     named = {DOCS / target for target in LINK.findall(index)}
     pages = {page for page in DOCS.glob("*.md") if page.name != "index.md"}
@@ -118,8 +118,8 @@
     return [
         (page.name, text)
         for page in PAGES
-        for found, text in BLOCK.findall(page.read_text())
-        if found == language
+        for block_language, text in BLOCK.findall(page.read_text())
+        if block_language == language
     ]
 
 
@@ -130,16 +130,16 @@
 
 @pytest.mark.parametrize(("page", "text"), _blocks("sh"))
 def test_commands_in_docs(page: str, text: str, tmp_path: pathlib.Path) -> None:
-    """Runs the lines that need no system, and parses the others."""
+    """Runs commands that need no running system, and parses the others."""
     command = f"{sys.executable} -m almondshift.console.application"
     lines = ["almondshift config sample > fleet.ini", *text.splitlines()]
     for line in lines:
-        if NEEDS_A_SYSTEM in line:
+        if RUNNING_SYSTEM_OPTION in line:
             words = shlex.split(line.partition(">")[0])
             assert application.create_parser().parse_args(words[1:]).run
             continue
         called = line.replace("almondshift", command, 1)
-        ran = subprocess.run(
+        result = subprocess.run(
             called, shell=True, cwd=tmp_path, capture_output=True, text=True
         )
-        assert ran.returncode == 0, f"{line}: {ran.stderr}"
+        assert result.returncode == 0, f"{line}: {result.stderr}"
--- a/tests/test_embedding.py
+++ b/tests/test_embedding.py
@@ -6,7 +6,7 @@
 import sys
 
 PAGE = pathlib.Path(__file__).parent.parent / "docs" / "embedding.md"
-EXPECTED = [
+EXPECTED_LINES = [
     "version 1 is HELLO",
     "the second on base 0: config_conflict",
     "fencing number 1",
@@ -15,15 +15,15 @@
 ]
 
 
-def test_the_example_runs_as_it_stands_in_the_page() -> None:
-    found = re.search(r"```python\n(.*?)```", PAGE.read_text(), re.S)
-    assert found is not None
-    ran = subprocess.run(
-        [sys.executable, "-c", found[1]],
+def test_the_example_on_the_page_runs_unchanged() -> None:
+    block = re.search(r"```python\n(.*?)```", PAGE.read_text(), re.S)
+    assert block is not None
+    result = subprocess.run(
+        [sys.executable, "-c", block[1]],
         capture_output=True,
         text=True,
         timeout=60,
         check=False,
     )
-    assert ran.returncode == 0, ran.stderr
-    assert ran.stdout.splitlines() == EXPECTED
+    assert result.returncode == 0, result.stderr
+    assert result.stdout.splitlines() == EXPECTED_LINES
--- a/tests/test_style.py
+++ b/tests/test_style.py
@@ -8,13 +8,13 @@
 
 ROOT = pathlib.Path(__file__).parents[1]
 SOURCES = sorted((ROOT / "src").rglob("*.py"))
-SHOWN = [str(path.relative_to(ROOT)) for path in SOURCES]
-NAMES_ALLOWED = {"typing", "collections.abc", "__future__"}
+SOURCE_IDS = [str(path.relative_to(ROOT)) for path in SOURCES]
+NAME_IMPORTS_ALLOWED_FROM = {"typing", "collections.abc", "__future__"}
 BANNER = re.compile(
     r"copyright|licen[cs]ed? |spdx|all rights reserved|-\*-|[#=*-]{20,}", re.I
 )
 MACHINE_PATH = re.compile(r"""["' ]/(work|home|root|Users|tmp|opt|usr)/""")
-HEAD_LINES = 15
+HEADER_LINES = 15
 
 
 def _is_module(package: str, name: str) -> bool:
@@ -26,12 +26,13 @@
     return [
         (node.module or "", alias.name)
         for node in ast.walk(tree)
-        if isinstance(node, ast.ImportFrom) and node.module not in NAMES_ALLOWED
+        if isinstance(node, ast.ImportFrom)
+        and node.module not in NAME_IMPORTS_ALLOWED_FROM
         for alias in node.names
     ]
 
 
-@pytest.mark.parametrize("path", SOURCES, ids=SHOWN)
+@pytest.mark.parametrize("path", SOURCES, ids=SOURCE_IDS)
 def test_imports_are_of_modules(path: pathlib.Path) -> None:
     for package, name in _imported_names(ast.parse(path.read_text())):
         if package.startswith("almondshift"):
@@ -41,10 +42,10 @@
             assert type(getattr(module, name)).__name__ == "module", name
 
 
-@pytest.mark.parametrize("path", SOURCES, ids=SHOWN)
+@pytest.mark.parametrize("path", SOURCES, ids=SOURCE_IDS)
 def test_no_banner_and_no_machine_path(path: pathlib.Path) -> None:
     text = path.read_text()
-    head = "\n".join(text.splitlines()[:HEAD_LINES])
-    assert not BANNER.search(head)
+    header = "\n".join(text.splitlines()[:HEADER_LINES])
+    assert not BANNER.search(header)
     assert not MACHINE_PATH.search(text)
     assert text.startswith('"""')
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path over separate processes."""
+"""End-to-end requests through a system of separate processes."""
 
 from __future__ import annotations
 
@@ -12,29 +12,31 @@
     import pathlib
 
 PROMPT = list(range(40, 60))
-COUNT = 16
+TOKEN_COUNT = 16
 
 
-def test_requests_are_served_from_end_to_end(tmp_path: pathlib.Path) -> None:
+def test_requests_are_served_end_to_end(tmp_path: pathlib.Path) -> None:
     async def run(system: systems.RealSystem) -> None:
         await system.start(nodes=2)
         caller = await system.caller()
         assert len(await caller.entries()) == 2
         for stream in (False, True):
-            answer = await caller.complete("chat", PROMPT, COUNT, stream=stream)
+            answer = await caller.complete(
+                "chat", PROMPT, TOKEN_COUNT, stream=stream
+            )
             assert answer.whole, answer
-            assert tuple(answer.tokens) == systems.expected(PROMPT, COUNT)
+            assert tuple(answer.tokens) == systems.expected(PROMPT, TOKEN_COUNT)
         await _check_portal(system)
         await _check_refusals(system)
         await _check_engine_loss(system)
 
     with processes.running(tmp_path) as runner:
-        asyncio.run(_with(systems.RealSystem(runner, tmp_path), run))
+        asyncio.run(_run_and_close(systems.RealSystem(runner, tmp_path), run))
         for process in runner.processes.values():
             assert "Traceback" not in process.log(), process.log()
 
 
-async def _with(system, run) -> None:  # type: ignore[no-untyped-def]
+async def _run_and_close(system, run) -> None:  # type: ignore[no-untyped-def]
     try:
         await run(system)
     finally:
@@ -74,21 +76,21 @@
         assert (answer.kind, answer.execution) == (kind, "not_run")
         assert answer.problem is not None
         assert answer.problem["remedy"]
-    stranger = await system.caller("no-such-key")
-    answer = await stranger.complete("chat", [1], 4)
+    unknown_caller = await system.caller("no-such-key")
+    answer = await unknown_caller.complete("chat", [1], 4)
     assert (answer.kind, answer.execution) == ("wrong_key", "not_run")
 
 
 async def _check_engine_loss(system: systems.RealSystem) -> None:
-    # An engine is killed in the middle of a stream. The caller sees the
-    # stream go on to its right end: the node replays the kept inputs into
-    # a replacement of that stage only.
+    # An engine is killed in the middle of a stream. The stream continues to
+    # its correct end: the node replays the stored inputs to a replacement of
+    # that stage only.
     caller = await system.caller()
-    seen: list[int] = []
+    received: list[int] = []
 
     def on_token(token: int) -> None:
-        seen.append(token)
-        if len(seen) == COUNT:
+        received.append(token)
+        if len(received) == TOKEN_COUNT:
             system.engines["e1"].kill()
 
     answer = await caller.complete("chat", PROMPT, 60, on_token=on_token)
