--- a/src/almondshift/daemons/relay.py
+++ b/src/almondshift/daemons/relay.py
@@ -190,9 +190,7 @@
     """Reloads the settings; those read at run time take effect."""
     loaded = relay_settings.load(path)
     if loaded.is_error():
-        log_events.emit(
-            logger, log_events.NodeReloaded(f"rejected: {loaded.error}")
-        )
+        log_events.emit(logger, log_events.NodeReloaded(f"not: {loaded.error}"))
         return
     new, old = loaded.ok, process.settings
     changed = [
