--- a/src/almondshift/console/burn_plot.py
+++ b/src/almondshift/console/burn_plot.py
@@ -26,7 +26,7 @@
 
 
 def render(series: list[burn.SeriesPoint]) -> str:
-    """Returns an ``svg`` element that plots burn rates against their age in hours."""
+    """Returns an ``svg`` element that plots burn rates by age in hours."""
     lines = _group_by_objective(series)
     y_max = max([MIN_Y_AXIS_MAX, *(point.burn for point in series)])
     height = HEIGHT_PX + LEGEND_LINE_PX * len(lines)
