--- a/src/almondshift/standins/engine/__main__.py
+++ b/src/almondshift/standins/engine/__main__.py
@@ -9,12 +9,12 @@
 from almondshift.standins.engine import server
 from almondshift.standins.engine import settings as engine_settings
 
-MS = 1e-3
-US = 1e-6
+S_PER_MS = 1e-3
+S_PER_US = 1e-6
 
 
 def create_parser() -> argparse.ArgumentParser:
-    """Creates the parser of the command line."""
+    """Creates the command-line parser."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--name", required=True)
     parser.add_argument("--zone", required=True)
@@ -60,7 +60,7 @@
     for argument in arguments:
         name, _, count = argument.partition("=")
         if not name or not count.isdecimal():
-            raise SystemExit(f"--model {argument}: write it as NAME=LAYERS")
+            raise SystemExit(f"--model {argument}: expected NAME=LAYERS")
         models[name] = int(count)
     return models
 
@@ -68,7 +68,7 @@
 def read_settings(
     options: argparse.Namespace,
 ) -> engine_settings.EngineSettings:
-    """Converts the command line to settings."""
+    """Converts command-line options to settings."""
     return engine_settings.EngineSettings(
         name=options.name,
         zone=options.zone,
@@ -77,19 +77,19 @@
         platform=options.platform,
         models=read_models(options.model),
         layer_capacity=options.layer_capacity,
-        fixed_s=options.fixed_ms * MS,
-        per_layer_token_s=options.per_layer_token_us * US,
+        fixed_s=options.fixed_ms * S_PER_MS,
+        per_layer_token_s=options.per_layer_token_us * S_PER_US,
         max_batch=options.max_batch,
         max_sessions=options.max_sessions,
         session_idle_s=options.session_idle_s,
         load_lag_s=options.load_lag_s,
-        load_layer_s=options.load_layer_ms * MS,
+        load_layer_s=options.load_layer_ms * S_PER_MS,
         drain_s=options.drain_s,
         checks_fencing=not options.ignore_fencing,
         prefix_blocks=options.prefix_blocks,
         cache_event_delay_s=options.cache_event_delay_s,
         cache_event_loss=options.cache_event_loss,
-        link_latency_s=options.link_latency_ms * MS,
+        link_latency_s=options.link_latency_ms * S_PER_MS,
         link_bytes_per_s=options.link_bytes_per_s,
         activation_bytes=options.activation_bytes,
         kv_bytes=options.kv_bytes,
@@ -102,7 +102,7 @@
 
 
 async def run(options: argparse.Namespace) -> None:
-    """Serves until a signal comes, then leaves."""
+    """Serves until SIGTERM or SIGINT, then shuts down gracefully."""
     settings = read_settings(options)
     engine = server.create_engine(settings)
     await processes.serve(
--- a/src/almondshift/standins/engine/batcher.py
+++ b/src/almondshift/standins/engine/batcher.py
@@ -17,7 +17,7 @@
 
 @dataclasses.dataclass(order=True, slots=True)
 class Job:
-    """An admitted item that waits for its result."""
+    """An admitted item that awaits its result."""
 
     priority: int
     sequence: int
@@ -27,11 +27,11 @@
 
 
 class Batcher:
-    """Forms batches and takes the time that they would.
+    """Forms batches and emulates the time that they take.
 
-    A batch ends at a time counted from the end of the one before it, not
-    from when the loop woke up; else the lateness of each timer would add up
-    and the engine would be slower than its settings say.
+    The end of a batch is computed from the end of the previous batch, not
+    from the time at which the event loop woke up. Otherwise timer delays
+    would add up and the engine would be slower than configured.
     """
 
     def __init__(
@@ -44,17 +44,17 @@
         self.runner = runner
         self.faults = faults
         self.queue: list[Job] = []
-        self.arrived = asyncio.Event()
+        self.work_arrived = asyncio.Event()
         self.sequence = 0
-        self.free_at = 0.0
+        self.busy_until = 0.0
         self.task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Begins to run batches."""
+        """Starts running batches."""
         self.task = asyncio.create_task(self._run())
 
     async def close(self) -> None:
-        """Stops, and drops what is queued."""
+        """Stops running batches and cancels queued items."""
         if self.task is None:
             return
         self.task.cancel()
@@ -64,7 +64,7 @@
         self.queue.clear()
 
     def submit(self, item: steps.StepItem) -> asyncio.Future[steps.StepResult]:
-        """Queues an item and returns the future of its result."""
+        """Queues an item and returns a future for its result."""
         loop = asyncio.get_running_loop()
         done: asyncio.Future[steps.StepResult] = loop.create_future()
         status = self.runner.admit(item)
@@ -74,11 +74,11 @@
         self.sequence += 1
         job = Job(item.priority, self.sequence, loop.time(), item, done)
         heapq.heappush(self.queue, job)
-        self.arrived.set()
+        self.work_arrived.set()
         return done
 
     def cancel(self, sessions: set[str]) -> None:
-        """Drops queued items of sessions; they are answered as not run."""
+        """Drops queued items of sessions; answers them ``UNKNOWN_SESSION``."""
         kept = []
         for job in self.queue:
             if job.item.session not in sessions:
@@ -91,26 +91,29 @@
 
     async def _run(self) -> None:
         while True:
-            await self.arrived.wait()
-            self.arrived.clear()
+            await self.work_arrived.wait()
+            self.work_arrived.clear()
             while self.queue:
-                await self._run_batch(self._take())
+                await self._run_batch(self._pop_batch())
 
-    def _take(self) -> list[Job]:
+    def _pop_batch(self) -> list[Job]:
         size = min(len(self.queue), self.settings.max_batch)
         return [heapq.heappop(self.queue) for _ in range(size)]
 
     async def _run_batch(self, batch: list[Job]) -> None:
-        ran = [self.runner.run(job.item) for job in batch]
-        work = sum(one.layer_tokens for one in ran)
-        seconds = self.settings.fixed_s + self.settings.per_layer_token_s * work
-        begun_at = max(self.free_at, min(job.arrived_at for job in batch))
-        self.free_at = begun_at + seconds * self.faults.slow_factor
-        left = self.free_at - asyncio.get_running_loop().time()
-        await asyncio.sleep(max(left, 0.0))
-        for job, one in zip(batch, ran, strict=True):
+        outcomes = [self.runner.run(job.item) for job in batch]
+        layer_tokens = sum(outcome.layer_tokens for outcome in outcomes)
+        batch_s = (
+            self.settings.fixed_s
+            + self.settings.per_layer_token_s * layer_tokens
+        )
+        started_at = max(self.busy_until, min(job.arrived_at for job in batch))
+        self.busy_until = started_at + batch_s * self.faults.slow_factor
+        remaining_s = self.busy_until - asyncio.get_running_loop().time()
+        await asyncio.sleep(max(remaining_s, 0.0))
+        for job, outcome in zip(batch, outcomes, strict=True):
             if not job.done.done():
-                job.done.set_result(one.result)
+                job.done.set_result(outcome.result)
 
 
 def _resolve(job: Job, status: steps.StepStatus) -> None:
--- a/src/almondshift/standins/engine/handlers.py
+++ b/src/almondshift/standins/engine/handlers.py
@@ -32,33 +32,33 @@
     """Base of all handlers."""
 
     def initialize(self, engine: server.EngineServer) -> None:
-        """Takes the engine that it serves."""
+        """Stores the engine that it serves."""
         self.engine = engine
 
     def compute_etag(self) -> None:
-        """Saves the digest of each body; no answer here is cached."""
+        """Skips hashing the body; responses here are never cached."""
 
     def refuse(self, status: int, reason: str) -> None:
-        """Answers that nothing was run, and why."""
+        """Responds that nothing was run, with the reason."""
         self.set_status(status)
         self.set_header(engine_messages.NOT_RUN_HEADER, "1")
         self.finish({"reason": reason})
 
     def send(self, body: bytes, content_type: str) -> None:
-        """Answers with a body."""
+        """Sends a body."""
         self.set_header("Content-Type", content_type)
         self.finish(body)
 
     def send_json(self, content: object) -> None:
-        """Answers with a message as JSON."""
+        """Sends a message as JSON."""
         self.send(msgspec.json.encode(content), engine_messages.JSON_TYPE)
 
-    def read(self, decode: Callable[[bytes], Message]) -> Message | None:
-        """Decodes the body, or refuses it and returns None."""
+    def decode_body(self, decode: Callable[[bytes], Message]) -> Message | None:
+        """Decodes the body, or rejects it and returns None."""
         try:
             return decode(self.request.body)
         except msgspec.DecodeError as error:
-            self.refuse(BAD_REQUEST, f"Correct the body: {error}.")
+            self.refuse(BAD_REQUEST, f"Malformed body: {error}.")
             return None
 
 
@@ -66,7 +66,7 @@
     """``GET /v1/describe``."""
 
     def get(self) -> None:
-        """Says what the engine is."""
+        """Describes the engine."""
         self.send_json(self.engine.describe())
 
 
@@ -74,48 +74,52 @@
     """``POST /v1/steps``."""
 
     async def post(self) -> None:
-        """Runs items of many requests and answers them all at once."""
+        """Runs items of several requests and sends all results together."""
         if self.engine.faults.refuse_all:
             self.refuse(UNAVAILABLE, "The engine refuses all steps.")
             return
-        items = self.read(engine_messages.decode_items)
+        items = self.decode_body(engine_messages.decode_items)
         if items is None:
             return
         results = await self._run(items)
         if self.engine.faults.swallow_answers > 0:
-            self._swallow()
+            self._swallow_response()
             return
-        body = engine_messages.encode_results(self._crossed(results))
+        body = engine_messages.encode_results(self._cross_if_enabled(results))
         self.send(body, engine_messages.MSGPACK_TYPE)
 
     async def _run(self, items: list[steps.StepItem]) -> list[steps.StepResult]:
         size = self.engine.settings.activation_bytes
         size *= sum(len(item.inputs) for item in items)
-        await self.engine.inbound.carry(size)
+        await self.engine.inbound.transfer(size)
         waiting = [self.engine.batcher.submit(item) for item in items]
         results = await asyncio.gather(*waiting)
-        await self.engine.outbound.carry(size)
+        await self.engine.outbound.transfer(size)
         return results
 
-    def _crossed(
+    def _cross_if_enabled(
         self, results: list[steps.StepResult]
     ) -> list[steps.StepResult]:
-        """Exchanges the answers if told to, as a confused engine would."""
+        """Mixes up results like a faulty engine if ``cross_answers`` is set.
+
+        With several results, it rotates them among the items. With a single
+        one, it returns a result of the previous call.
+        """
         engine = self.engine
-        former, engine.last_results = engine.last_results, results
-        if engine.faults.cross_answers <= 0 or not former:
+        previous, engine.last_results = engine.last_results, results
+        if engine.faults.cross_answers <= 0 or not previous:
             return results
         engine.faults.cross_answers -= 1
         if len(results) > 1:
             return [*results[1:], results[0]]
-        return former[:1]
+        return previous[:1]
 
-    def _swallow(self) -> None:
+    def _swallow_response(self) -> None:
         faults = self.engine.faults
         faults.swallow_answers -= 1
         stream = self.detach()
-        if faults.swallow is switches.Swallow.HANG:
-            self.engine.hanging.append(stream)
+        if faults.swallow is switches.SwallowMode.HANG:
+            self.engine.hanging_streams.append(stream)
             return
         stream.close()
 
@@ -125,7 +129,7 @@
 
     def post(self) -> None:
         """Drops sessions and their queued items."""
-        sessions = self.read(engine_messages.decode_cancel)
+        sessions = self.decode_body(engine_messages.decode_cancel)
         if sessions is None:
             return
         self.engine.cancel(sessions)
@@ -141,23 +145,23 @@
         if snapshot is None:
             self.refuse(NOT_FOUND, "No idle session has this id.")
             return
-        await self.engine.outbound.carry(self._size(snapshot))
+        await self.engine.outbound.transfer(self._size(snapshot))
         body = engine_messages.encode_snapshot(snapshot)
         self.send(body, engine_messages.MSGPACK_TYPE)
 
     async def put(self, session: str) -> None:
         """Opens a session from an exported KV cache."""
-        snapshot = self.read(engine_messages.decode_snapshot)
+        snapshot = self.decode_body(engine_messages.decode_snapshot)
         if snapshot is None:
             return
         if snapshot.session != session:
-            self.refuse(BAD_REQUEST, "Path and body name two sessions.")
+            self.refuse(BAD_REQUEST, "Path and body name different sessions.")
             return
-        await self.engine.inbound.carry(self._size(snapshot))
+        await self.engine.inbound.transfer(self._size(snapshot))
         try:
             reason = self.engine.import_snapshot(snapshot)
         except struct.error:
-            self.refuse(BAD_REQUEST, "The state does not fit the layers.")
+            self.refuse(BAD_REQUEST, "The KV state does not match the layers.")
             return
         if reason:
             self.refuse(CONFLICT, reason)
@@ -173,7 +177,7 @@
     """``GET /v1/load``."""
 
     def get(self) -> None:
-        """Sends the lagging load report."""
+        """Sends the delayed load report."""
         report = self.engine.reporter.report()
         body = engine_messages.encode_load(report)
         self.send(body, engine_messages.JSON_TYPE)
@@ -183,10 +187,10 @@
     """``GET /v1/cache-events?after=N``."""
 
     def get(self) -> None:
-        """Sends cache events, late and with gaps."""
+        """Sends cache events, delayed and with gaps."""
         after = self.get_query_argument("after", "0")
         if not after.isdecimal():
-            self.refuse(BAD_REQUEST, "Give 'after' as a whole number.")
+            self.refuse(BAD_REQUEST, "'after' must be a non-negative integer.")
             return
         self.send_json(self.engine.events.published(int(after)))
 
@@ -195,21 +199,23 @@
     """``GET`` and ``POST /v1/orders``."""
 
     def get(self) -> None:
-        """Sends the orders that came, for tests."""
-        self.send_json({"rows": list(self.engine.held.seen)})
+        """Sends the received orders, for tests."""
+        self.send_json(
+            {"rows": list(self.engine.holding_table.received_orders)}
+        )
 
     def post(self) -> None:
-        """Takes an order."""
-        order = self.read(engine_messages.decode_order)
+        """Handles an order."""
+        order = self.decode_body(engine_messages.decode_order)
         if order is not None:
-            self.send_json(self.engine.held.take(order))
+            self.send_json(self.engine.holding_table.handle_order(order))
 
 
 class LedgerHandler(EngineHandler):
-    """``GET /v1/ledger``, optionally of one request."""
+    """``GET /v1/ledger``, optionally filtered by request."""
 
     def get(self) -> None:
-        """Sends what really ran, in order."""
+        """Sends the items that ran, in order."""
         request_id = self.get_query_argument("request_id", "")
         rows = [
             row
@@ -223,8 +229,8 @@
     """``POST /v1/control``."""
 
     def post(self) -> None:
-        """Changes the switches of tests."""
-        control = self.read(decode_control)
+        """Changes the fault switches."""
+        control = self.decode_body(decode_control)
         if control is None:
             return
         control.change(self.engine.faults)
--- a/src/almondshift/standins/engine/holdings.py
+++ b/src/almondshift/standins/engine/holdings.py
@@ -1,4 +1,4 @@
-"""What the engine holds, and how orders change it."""
+"""The layers an engine holds, and the orders that change them."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
     from almondshift.standins.engine import sessions
     from almondshift.standins.engine import settings as engine_settings
 
-SEEN_LIMIT = 10_000
+MAX_RECEIVED_ORDERS = 10_000
 
-Weights = tuple[str, int, int]
+LayerKey = tuple[str, int, int]
 """Model, version and layer."""
 
 
-class Needs(Protocol):
-    """What an item, a session and a snapshot have in common."""
+class LayerRequirement(Protocol):
+    """The common attributes of step items, sessions and snapshots."""
 
     @property
     def model(self) -> str:
@@ -48,13 +48,13 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Entry:
-    """A holding.
+class HoldingEntry:
+    """A range of layers that is loaded or being loaded.
 
     Attributes:
         ready: Whether all weights are loaded.
-        closed: Whether it opens no more sessions; it goes when the last
-            session that needs it has ended.
+        closed: Whether it accepts no new sessions; it is removed when the
+            last session that uses it has ended.
     """
 
     model: str
@@ -64,17 +64,17 @@
     ready: bool = False
     closed: bool = False
 
-    def covers(self, needs: Needs) -> bool:
-        """Returns whether it has all that is needed, ready to run."""
+    def covers(self, required: LayerRequirement) -> bool:
+        """Returns whether it is ready and satisfies the requirement."""
         return (
             self.ready
-            and self.model == needs.model
-            and self.version == needs.version
-            and self.adapter == needs.adapter
-            and self.layers.covers(needs.layers)
+            and self.model == required.model
+            and self.version == required.version
+            and self.adapter == required.adapter
+            and self.layers.covers(required.layers)
         )
 
-    def is_for(self, order: orders.Order) -> bool:
+    def matches(self, order: orders.Order) -> bool:
         """Returns whether it is what the order asks for."""
         return (
             self.model == order.model
@@ -83,15 +83,15 @@
             and self.layers == order.layers
         )
 
-    def weights(self) -> set[Weights]:
-        """Returns the layers that it needs in memory."""
+    def layer_keys(self) -> set[LayerKey]:
+        """Returns the keys of its layers."""
         wanted = range(self.layers.start, self.layers.end)
         return {(self.model, self.version, layer) for layer in wanted}
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class SeenOrder:
-    """An order as it came, and how it was answered; for tests to judge."""
+class ReceivedOrder:
+    """A received order and the status it was given; for tests."""
 
     fencing: int
     status: str
@@ -102,13 +102,13 @@
 
 
 class HoldingTable:
-    """Takes orders and loads what they ask for, one order at a time.
+    """Handles orders and loads their layers, one order at a time.
 
     Attributes:
-        role: The role last ordered.
-        highest_fencing: The highest fencing number seen.
-        order_number: Fencing number of the order last accepted.
-        seen: The last orders, in the order in which they came.
+        role: The role of the last accepted order.
+        highest_fencing: The highest fencing token received.
+        order_number: Fencing token of the last accepted order.
+        received_orders: The latest orders, in order of arrival.
     """
 
     def __init__(
@@ -125,23 +125,23 @@
         self.role = endpoints.EndpointRole.IDLE
         self.highest_fencing = 0
         self.order_number = 0
-        self.seen: collections.deque[SeenOrder] = collections.deque(
-            maxlen=SEEN_LIMIT
+        self.received_orders: collections.deque[ReceivedOrder] = (
+            collections.deque(maxlen=MAX_RECEIVED_ORDERS)
         )
-        self.entries: list[Entry] = []
-        self.loaded: set[Weights] = set()
+        self.entries: list[HoldingEntry] = []
+        self.loaded: set[LayerKey] = set()
         self.loading: asyncio.Task[None] | None = None
         self.sessions_changed = asyncio.Event()
 
     async def close(self) -> None:
-        """Stops loading."""
+        """Cancels loading."""
         if self.loading is None:
             return
         self.loading.cancel()
         await asyncio.gather(self.loading, return_exceptions=True)
 
     def report(self) -> tuple[endpoints.Holding, ...]:
-        """Returns the holdings; one is ready if it opens sessions."""
+        """Returns the holdings; those that open sessions count as ready."""
         return tuple(
             endpoints.Holding(
                 entry.model,
@@ -153,21 +153,21 @@
             for entry in self.entries
         )
 
-    def opens(self, needs: Needs) -> bool:
-        """Returns whether a new session finds what it needs."""
+    def can_open(self, required: LayerRequirement) -> bool:
+        """Returns whether a new session finds the layers it requires."""
         return any(
-            entry.covers(needs) for entry in self.entries if not entry.closed
+            entry.covers(required) for entry in self.entries if not entry.closed
         )
 
-    def continues(self, needs: Needs) -> bool:
-        """Returns whether a running session finds what it needs."""
-        return any(entry.covers(needs) for entry in self.entries)
+    def can_continue(self, required: LayerRequirement) -> bool:
+        """Returns whether a running session finds the layers it requires."""
+        return any(entry.covers(required) for entry in self.entries)
 
-    def take(self, order: orders.Order) -> orders.OrderAnswer:
-        """Accepts or refuses an order; the loading goes on afterwards."""
-        status = self._judge(order)
-        self.seen.append(
-            SeenOrder(
+    def handle_order(self, order: orders.Order) -> orders.OrderAnswer:
+        """Accepts or refuses an order; layers are loaded in the background."""
+        status = self._check_order(order)
+        self.received_orders.append(
+            ReceivedOrder(
                 order.fencing,
                 status.value,
                 order.model,
@@ -180,17 +180,17 @@
         if status is orders.OrderStatus.ACCEPTED:
             self.order_number = order.fencing
             self.role = order.role
-            self._begin(order)
+            self._apply(order)
         return orders.OrderAnswer(status, self.highest_fencing)
 
-    def _judge(self, order: orders.Order) -> orders.OrderStatus:
+    def _check_order(self, order: orders.Order) -> orders.OrderStatus:
         if self._is_stale(order):
             return orders.OrderStatus.STALE
         if not order.model:
             return orders.OrderStatus.ACCEPTED
         layer_count = self.settings.models.get(order.model, 0)
-        whole = layers.LayerRange(0, layer_count)
-        if order.layers.count < 1 or not whole.covers(order.layers):
+        all_layers = layers.LayerRange(0, layer_count)
+        if order.layers.count < 1 or not all_layers.covers(order.layers):
             return orders.OrderStatus.INVALID
         if order.layers.count > self.settings.layer_capacity:
             return orders.OrderStatus.INVALID
@@ -201,13 +201,13 @@
             return False
         return order.fencing < self.highest_fencing
 
-    def _begin(self, order: orders.Order) -> None:
+    def _apply(self, order: orders.Order) -> None:
         entry = self._find(order)
         if entry is not None and not entry.ready:
             return
         if self.loading is not None:
             self.loading.cancel()
-        self.entries = [held for held in self.entries if held.ready]
+        self.entries = [other for other in self.entries if other.ready]
         if entry is not None:
             entry.closed = False
             self._close_others(entry)
@@ -215,83 +215,85 @@
         if not order.model:
             self._close_others(None)
             return
-        entry = Entry(order.model, order.version, order.adapter, order.layers)
+        entry = HoldingEntry(
+            order.model, order.version, order.adapter, order.layers
+        )
         self.entries.append(entry)
         self.loading = asyncio.create_task(self._load(entry))
 
-    def _find(self, order: orders.Order) -> Entry | None:
+    def _find(self, order: orders.Order) -> HoldingEntry | None:
         for entry in self.entries:
-            if entry.is_for(order):
+            if entry.matches(order):
                 return entry
         return None
 
-    async def _load(self, entry: Entry) -> None:
+    async def _load(self, entry: HoldingEntry) -> None:
         await self._make_room(entry)
-        for weights in sorted(entry.weights() - self.loaded):
-            await self.load_layer(*weights)
-            self.loaded.add(weights)
+        for layer_key in sorted(entry.layer_keys() - self.loaded):
+            await self.load_layer(*layer_key)
+            self.loaded.add(layer_key)
         if entry.adapter:
             await asyncio.sleep(self.settings.adapter_load_s)
         entry.ready = True
         self._close_others(entry)
 
-    async def _make_room(self, entry: Entry) -> None:
-        """Waits until the entry fits beside what sessions still use.
+    async def _make_room(self, entry: HoldingEntry) -> None:
+        """Waits until the entry fits next to the layers that sessions use.
 
-        Without the wait, sessions of the old holding would lose their KV
-        state to each order; without its bound, one forgotten session would
-        hold back the order for ever.
+        Without the wait, each order would cost sessions of the old holding
+        their KV state. The wait is bounded because otherwise one abandoned
+        session would block the order indefinitely.
         """
-        self._forget_unused()
+        self._unload_unused()
         if self._fits(entry):
             return
-        for held in self.entries:
-            held.closed = held is not entry
+        for other in self.entries:
+            other.closed = other is not entry
         deadline = asyncio.get_running_loop().time() + self.settings.drain_s
-        self.sweep()
+        self.remove_unused()
         while not self._fits(entry):
-            left = deadline - asyncio.get_running_loop().time()
-            if left <= 0:
-                self._drop_closed()
+            remaining_s = deadline - asyncio.get_running_loop().time()
+            if remaining_s <= 0:
+                self._drop_closed_entries()
                 return
-            await self._wait_for_sessions(left)
-            self.sweep()
+            await self._wait_for_sessions(remaining_s)
+            self.remove_unused()
 
     async def _wait_for_sessions(self, timeout_s: float) -> None:
         self.sessions_changed.clear()
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(self.sessions_changed.wait(), timeout_s)
 
-    def _fits(self, entry: Entry) -> bool:
-        needed = self.loaded | entry.weights()
+    def _fits(self, entry: HoldingEntry) -> bool:
+        needed = self.loaded | entry.layer_keys()
         return len(needed) <= self.settings.layer_capacity
 
-    def _close_others(self, entry: Entry | None) -> None:
-        for held in self.entries:
-            if held is not entry:
-                held.closed = True
-        self.sweep()
+    def _close_others(self, entry: HoldingEntry | None) -> None:
+        for other in self.entries:
+            if other is not entry:
+                other.closed = True
+        self.remove_unused()
 
-    def sweep(self) -> None:
-        """Drops closed holdings that no session needs any more."""
+    def remove_unused(self) -> None:
+        """Removes closed holdings that no session uses any more."""
         self.sessions_changed.set()
         for entry in list(self.entries):
             if entry.closed and not self._is_used(entry):
                 self.entries.remove(entry)
-        self._forget_unused()
+        self._unload_unused()
 
-    def _is_used(self, entry: Entry) -> bool:
+    def _is_used(self, entry: HoldingEntry) -> bool:
         return any(entry.covers(session) for session in self.list_sessions())
 
-    def _drop_closed(self) -> None:
+    def _drop_closed_entries(self) -> None:
         self.entries = [entry for entry in self.entries if not entry.closed]
         for session in list(self.list_sessions()):
-            if not self.continues(session):
+            if not self.can_continue(session):
                 self.drop_session(session.session)
-        self._forget_unused()
+        self._unload_unused()
 
-    def _forget_unused(self) -> None:
-        needed: set[Weights] = set()
+    def _unload_unused(self) -> None:
+        needed: set[LayerKey] = set()
         for entry in self.entries:
-            needed |= entry.weights()
+            needed |= entry.layer_keys()
         self.loaded &= needed
--- a/src/almondshift/standins/engine/ledger.py
+++ b/src/almondshift/standins/engine/ledger.py
@@ -1,4 +1,4 @@
-"""A record of what really ran, for tests to judge by."""
+"""A record of the items that ran, for checks by tests."""
 
 from __future__ import annotations
 
@@ -16,10 +16,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LedgerRow:
-    """One item that ran: ``count`` positions from ``position`` on.
+    """One item that ran: ``count`` positions, starting at ``position``.
 
     Attributes:
-        at: Monotonic seconds, comparable between processes of one machine.
+        at: Monotonic time in seconds, comparable across the processes of a
+            machine.
     """
 
     sequence: int
@@ -38,15 +39,15 @@
 
 
 class Ledger:
-    """Rows in the order in which the items ran.
+    """Rows in order of execution.
 
     Args:
-        limit: Rows kept in memory.
+        limit: Maximum number of rows kept in memory.
         path: File to which each row is also appended as a line of JSON, so
-            that it outlives a kill; ``""`` for none.
+            that it survives a SIGKILL; ``""`` for none.
 
     Attributes:
-        total: Number of rows ever written, also those since dropped.
+        total: Number of rows ever written, including dropped ones.
     """
 
     def __init__(self, limit: int, path: str = "") -> None:
@@ -58,7 +59,7 @@
         self.total = 0
 
     def start(self) -> None:
-        """Opens the file; what it holds stays."""
+        """Opens the file for appending."""
         if self.path:
             self.file = open(self.path, "ab", buffering=0)  # noqa: SIM115
 
@@ -69,7 +70,7 @@
             self.file = None
 
     def record(self, item: steps.StepItem) -> None:
-        """Writes that an item ran."""
+        """Records that an item ran."""
         self.total += 1
         row = LedgerRow(
             self.total,
--- a/src/almondshift/standins/engine/load_reports.py
+++ b/src/almondshift/standins/engine/load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports that lag behind the truth."""
+"""Load reports that lag behind the current load."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 class LoadReporter:
-    """Gives out the newest report that is at least ``lag_s`` old.
+    """Provides the newest report that is at least ``lag_s`` old.
 
     Args:
-        lag_s: Age of the reports in seconds; 0 for the truth of now.
-        measure: Returns the present load, with an age of 0.
+        lag_s: Minimum age of reports in seconds; 0 for the current load.
+        measure: Returns the current load, with an age of 0.
     """
 
     def __init__(
@@ -35,7 +35,7 @@
         self.task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Begins to record, if reports lag."""
+        """Starts recording if reports lag."""
         if self.lag_s > 0:
             self._record()
             self.task = asyncio.create_task(self._run())
@@ -55,7 +55,7 @@
         self.records.append((time.monotonic(), self.measure()))
 
     def report(self) -> endpoints.LoadReport:
-        """Returns the report; the first one, if none is old enough."""
+        """Returns the report; the oldest one if none has the minimum age."""
         if self.lag_s <= 0:
             return self.measure()
         now = time.monotonic()
--- a/src/almondshift/standins/engine/prefixes.py
+++ b/src/almondshift/standins/engine/prefixes.py
@@ -1,4 +1,4 @@
-"""The prefix cache: which prompt prefixes cost no time again."""
+"""The prefix cache: prompt prefixes that take no time when repeated."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class PrefixCache:
-    """Digests of whole blocks, least recently used first.
+    """An LRU cache of the digests of complete blocks.
 
     Attributes:
-        on_change: Called with a digest, and true if it was added.
+        on_change: Called with a digest, and whether it was added or evicted.
     """
 
     def __init__(
@@ -33,27 +33,27 @@
     def advance(self, session: sessions.Session, inputs: Sequence[int]) -> int:
         """Adds a session's next inputs and returns how many were cached.
 
-        Only a session whose inputs were all cached so far profits, since a
-        prefix counts from the first position.
+        Inputs count as cached only if all earlier inputs of the session were,
+        since a prefix starts at the first position.
         """
         cached = 0
-        rest = session.prefix_rest
-        fresh = 0
+        tail = session.prefix_tail
+        uncounted = 0
         for value in inputs:
-            rest.append(value)
-            fresh += 1
-            if len(rest) < prefixes.BLOCK_TOKENS:
+            tail.append(value)
+            uncounted += 1
+            if len(tail) < prefixes.BLOCK_TOKENS:
                 continue
-            if self._close_block(session):
-                cached += fresh
-            fresh = 0
+            if self._complete_block(session):
+                cached += uncounted
+            uncounted = 0
         return cached
 
-    def _close_block(self, session: sessions.Session) -> bool:
-        before = session.prefix_digest or session.seed
-        digest = prefixes.extend(before, session.prefix_rest)
+    def _complete_block(self, session: sessions.Session) -> bool:
+        previous = session.prefix_digest or session.seed
+        digest = prefixes.extend(previous, session.prefix_tail)
         session.prefix_digest = digest
-        session.prefix_rest.clear()
+        session.prefix_tail.clear()
         key = (digest, session.layers.start, session.layers.end)
         if key in self.digests:
             self.digests.move_to_end(key)
--- a/src/almondshift/standins/engine/server.py
+++ b/src/almondshift/standins/engine/server.py
@@ -1,4 +1,4 @@
-"""The engine stand-in as a server."""
+"""HTTP server of the engine stand-in."""
 
 from __future__ import annotations
 
@@ -38,14 +38,14 @@
 
 
 class EngineServer(processes.StandIn):
-    """A model engine.
+    """An emulated model engine.
 
     Attributes:
         address: ``host:port``, once started.
-        instance: Random id of this start.
-        faults: The switches of tests.
+        instance: Random id, new at each start.
+        faults: The fault switches.
         record: The ledger.
-        hanging: Connections whose answer was swallowed.
+        hanging_streams: Open connections whose response was swallowed.
         last_results: Results of the latest step call.
     """
 
@@ -55,7 +55,7 @@
         self.instance = f"{random.SystemRandom().getrandbits(INSTANCE_BITS):x}"
         self.faults = switches.Switches()
         self.record = ledger.Ledger(settings.ledger_limit, settings.ledger_file)
-        self.hanging: list[iostream.IOStream] = []
+        self.hanging_streams: list[iostream.IOStream] = []
         self.last_results: list[steps.StepResult] = []
         self.events = cache_events.CacheEventLog(
             settings.cache_event_delay_s,
@@ -69,7 +69,7 @@
             settings.max_sessions, settings.session_idle_s, self._on_drop
         )
         self.weights = weights.WeightLoader(settings)
-        self.held = holdings.HoldingTable(
+        self.holding_table = holdings.HoldingTable(
             settings,
             self.weights.load,
             self.table.sessions.values,
@@ -78,7 +78,7 @@
         self.runner = runner.Runner(
             settings,
             self.table,
-            self.held,
+            self.holding_table,
             self.cache,
             self.record,
             self.faults,
@@ -101,7 +101,7 @@
         )
 
     async def start(self) -> None:
-        """Listens and begins to run batches."""
+        """Starts listening and running batches."""
         self.record.start()
         await self.batcher.start()
         await self.reporter.start()
@@ -113,17 +113,17 @@
     async def close(self) -> None:
         """Stops listening and closes all connections."""
         self.server.stop()
-        for stream in self.hanging:
+        for stream in self.hanging_streams:
             stream.close()
         await self.batcher.close()
         await self.reporter.close()
-        await self.held.close()
+        await self.holding_table.close()
         self.weights.close()
         self.record.close()
         await self.server.close_all_connections()
 
     def describe(self) -> endpoints.EndpointDescription:
-        """Returns what the engine is."""
+        """Returns the engine's description."""
         settings = self.settings
         return endpoints.EndpointDescription(
             settings.name,
@@ -137,7 +137,7 @@
         )
 
     def describe_vm(self, state: endpoints.VmState) -> endpoints.Vm:
-        """Returns the engine's row in the list of VMs."""
+        """Returns the engine's row in the VM list."""
         return endpoints.Vm(
             self.settings.name,
             self.settings.advertise or self.address,
@@ -148,24 +148,24 @@
         )
 
     def begin_leaving(self) -> None:
-        """Opens no more sessions from now on."""
+        """Starts refusing new sessions."""
         self.faults.leaving = True
 
     def has_work(self) -> bool:
-        """Returns whether sessions are left."""
+        """Returns whether any session is open."""
         return len(self.table) > 0
 
     def measure_load(self) -> endpoints.LoadReport:
-        """Returns the present load."""
+        """Returns the current load."""
         return endpoints.LoadReport(
             self.settings.name,
             self.instance,
-            self.held.role,
+            self.holding_table.role,
             self.faults.leaving,
-            self.held.report(),
+            self.holding_table.report(),
             len(self.table),
             len(self.batcher.queue),
-            self.held.order_number,
+            self.holding_table.order_number,
             0.0,
         )
 
@@ -176,28 +176,28 @@
             self.table.drop(session)
 
     def import_snapshot(self, snapshot: steps.KvSnapshot) -> str:
-        """Opens a session; returns why not, or ``""``.
+        """Opens a session; returns the reason if refused, else ``""``.
 
         Raises:
-            struct.error: If the state does not fit the layers.
+            struct.error: If the KV state does not match the layers.
         """
         if self.faults.leaving or self.runner.is_draining():
-            return "The engine opens no sessions."
-        if not self.held.opens(snapshot):
+            return "The engine does not accept new sessions."
+        if not self.holding_table.can_open(snapshot):
             return "The engine does not hold these layers."
         if self.table.find(snapshot.session) is not None:
-            return "The session exists."
+            return "The session already exists."
         if not self.table.import_snapshot(snapshot, time.monotonic()):
             return "All sessions are in use."
         return ""
 
     def drop_kv(self) -> None:
-        """Loses all sessions and the prefix cache."""
+        """Drops all sessions and clears the prefix cache."""
         self.table.drop_all()
         self.cache.clear()
 
     def _on_drop(self) -> None:
-        self.held.sweep()
+        self.holding_table.remove_unused()
 
 
 def _log_nothing(_: web.RequestHandler) -> None:
@@ -205,5 +205,5 @@
 
 
 def create_engine(settings: engine_settings.EngineSettings) -> EngineServer:
-    """Creates an engine; it is not started yet."""
+    """Creates an engine without starting it."""
     return EngineServer(settings)
--- a/src/almondshift/standins/engine/sessions.py
+++ b/src/almondshift/standins/engine/sessions.py
@@ -1,4 +1,4 @@
-"""Sessions and their KV state, in limited memory."""
+"""Sessions and their KV state, limited in number."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
     Attributes:
         states: KV state of each layer.
         length: Number of positions held.
-        expected: Position that the next arriving item must have; ahead of
-            ``length`` by what is queued.
-        queued: Items that wait or run.
-        prefix_digest: Digest of the inputs up to the last whole block.
-        prefix_rest: Inputs after it.
-        prefix_cached: Whether all whole blocks so far were cached.
+        next_position: Position that the next arriving item must have; ahead of
+            ``length`` by the number of queued positions.
+        queued: Number of items that wait or run.
+        prefix_digest: Digest of the inputs up to the last complete block.
+        prefix_tail: Inputs after the last complete block.
+        prefix_cached: Whether all complete blocks so far were cached.
     """
 
     session: str
@@ -38,12 +38,12 @@
     adapter: str
     seed: int
     states: list[int]
-    used_at: float
+    last_used_at: float
     length: int = 0
-    expected: int = 0
+    next_position: int = 0
     queued: int = 0
     prefix_digest: int = 0
-    prefix_rest: list[int] = dataclasses.field(default_factory=list)
+    prefix_tail: list[int] = dataclasses.field(default_factory=list)
     prefix_cached: bool = True
 
     def serves(self, item: steps.StepItem) -> bool:
@@ -76,7 +76,7 @@
     """Sessions, least recently used first.
 
     A session that has no queued item and was not used for ``idle_s`` is
-    taken as ended and may be evicted for a new one.
+    assumed to have ended and may be evicted for a new one.
     """
 
     def __init__(
@@ -98,7 +98,7 @@
 
     def touch(self, session: Session, now: float) -> None:
         """Marks a session as used."""
-        session.used_at = now
+        session.last_used_at = now
         self.sessions.move_to_end(session.session)
 
     def open(self, item: steps.StepItem, now: float) -> Session | None:
@@ -124,18 +124,21 @@
         if len(self.sessions) < self.limit:
             return True
         for session in self.sessions.values():
-            if session.queued == 0 and now - session.used_at >= self.idle_s:
+            if (
+                session.queued == 0
+                and now - session.last_used_at >= self.idle_s
+            ):
                 self.drop(session.session)
                 return True
         return False
 
     def drop(self, session: str) -> None:
-        """Drops a session if it is there."""
+        """Drops a session if it exists."""
         if self.sessions.pop(session, None) is not None:
             self.on_drop()
 
     def drop_all(self) -> None:
-        """Drops every session, as a restart of the memory would."""
+        """Drops every session, as if the engine's memory were lost."""
         self.sessions.clear()
         self.on_drop()
 
@@ -156,10 +159,10 @@
         )
 
     def import_snapshot(self, snapshot: steps.KvSnapshot, now: float) -> bool:
-        """Opens a session from a snapshot; false if there is no room.
+        """Opens a session from a snapshot; returns whether there was room.
 
         Raises:
-            struct.error: If the state does not fit the layers.
+            struct.error: If the KV state does not match the layers.
         """
         count = snapshot.layers.count
         states = list(struct.unpack(f"<{count}Q", snapshot.state))
@@ -178,7 +181,7 @@
             states,
             now,
             length=snapshot.length,
-            expected=snapshot.length,
+            next_position=snapshot.length,
             prefix_cached=False,
         )
         return True
--- a/src/almondshift/standins/engine/settings.py
+++ b/src/almondshift/standins/engine/settings.py
@@ -12,30 +12,30 @@
 
 @dataclasses.dataclass(slots=True)
 class EngineSettings:
-    """How the stand-in behaves; times in seconds.
+    """Configuration of the stand-in; times in seconds.
 
     Attributes:
         models: Number of layers of each model that can be loaded. The last
             layer of a model samples tokens.
         platform: ``host:port`` of the platform, ``""`` for none.
-        load_lag_s: Age of the load report that is given out.
-        load_layer_s: Time to load one layer beside fetching its weights.
-        drain_s: How long an order that needs room waits for the sessions
-            of the old holding before it drops them.
+        load_lag_s: Minimum age of the load reports; 0 for the current load.
+        load_layer_s: Time to load one layer, besides fetching its weights.
+        drain_s: How long an order that needs memory waits for the sessions
+            of the old holding to end before it drops them.
         session_idle_s: A session unused for this long may be evicted.
-        checks_fencing: Whether an order with an old number is refused.
-        prefix_blocks: Blocks that the prefix cache holds.
-        cache_event_delay_s: Age at which cache events are published.
-        cache_event_loss: Share of cache events that are lost.
+        checks_fencing: Whether an order with a stale fencing token is refused.
+        prefix_blocks: Capacity of the prefix cache in blocks.
+        cache_event_delay_s: Delay until cache events are published.
+        cache_event_loss: Fraction of cache events that are dropped, 0 to 1.
         link_latency_s: One-way latency added to each step call.
-        link_bytes_per_s: Bandwidth of the link; 0 for no bound.
+        link_bytes_per_s: Bandwidth of the link; 0 for unlimited.
         activation_bytes: Size of one activation on the link.
-        kv_bytes: Size of the KV cache of one position in one layer, which
-            takes its time on the link when it is exported or imported.
-        advertise: ``host:port`` to register in place of the own address,
-            ``""`` for the own; a proxy's, if one stands before it.
-        ledger_limit: Rows kept; the oldest go first.
-        ledger_file: File that rows are appended to, ``""`` for none.
+        kv_bytes: Size of the KV cache of one position in one layer; determines
+            the transfer time of exports and imports.
+        advertise: ``host:port`` to register, such as that of a proxy in front;
+            ``""`` for the address it listens on.
+        ledger_limit: Maximum number of rows kept; the oldest are dropped first.
+        ledger_file: File to which rows are appended, ``""`` for none.
         grace_s: How long running sessions are served after SIGTERM.
         exit_process: Ends the process when a crash is emulated.
     """
--- a/src/almondshift/standins/engine/switches.py
+++ b/src/almondshift/standins/engine/switches.py
@@ -1,4 +1,4 @@
-"""Switches with which tests make the engine fail."""
+"""Switches with which tests inject faults into the engine."""
 
 from __future__ import annotations
 
@@ -7,31 +7,32 @@
 import msgspec
 
 
-class Swallow(enum.StrEnum):
-    """What happens to the connection of a swallowed answer."""
+class SwallowMode(enum.StrEnum):
+    """What happens to the connection of a swallowed response."""
 
     CLOSE = "close"
     HANG = "hang"
 
 
 class Switches(msgspec.Struct, kw_only=True):
-    """The present faults.
+    """The active faults.
 
     Attributes:
-        crash_token: The process ends when it runs a prompt with this id.
-        slow_factor: Multiplies the time of each batch.
-        swallow_answers: Number of step answers to swallow after running.
+        crash_token: The process exits when it runs a prompt with this token id.
+        slow_factor: Factor for the duration of each batch.
+        swallow_answers: Number of step responses to swallow after running.
         swallow: What happens to their connections.
-        cross_answers: Number of step calls that get answers to other items.
-        refuse_all: Answer each step call 503 without running it.
+        cross_answers: Number of step calls that get the results of other
+            items.
+        refuse_all: Answer each step call with 503 without running it.
         leaving: Refuse to open sessions.
-        opens_while_leaving: Say that it is leaving, but open sessions.
+        opens_while_leaving: Report that it is leaving, but open sessions.
     """
 
     crash_token: int | None = None
     slow_factor: float = 1.0
     swallow_answers: int = 0
-    swallow: Swallow = Swallow.CLOSE
+    swallow: SwallowMode = SwallowMode.CLOSE
     cross_answers: int = 0
     refuse_all: bool = False
     leaving: bool = False
@@ -39,12 +40,12 @@
 
 
 class Control(msgspec.Struct, kw_only=True):
-    """A change of switches; what is left out stays as it is."""
+    """A change of switches; omitted ones keep their value."""
 
     crash_token: int | None | msgspec.UnsetType = msgspec.UNSET
     slow_factor: float | msgspec.UnsetType = msgspec.UNSET
     swallow_answers: int | msgspec.UnsetType = msgspec.UNSET
-    swallow: Swallow | msgspec.UnsetType = msgspec.UNSET
+    swallow: SwallowMode | msgspec.UnsetType = msgspec.UNSET
     cross_answers: int | msgspec.UnsetType = msgspec.UNSET
     refuse_all: bool | msgspec.UnsetType = msgspec.UNSET
     opens_while_leaving: bool | msgspec.UnsetType = msgspec.UNSET
@@ -52,7 +53,7 @@
     drop_kv: bool = False
 
     def change(self, switches: Switches) -> None:
-        """Sets the switches that are named."""
+        """Sets the switches that are present."""
         for field in Switches.__struct_fields__:
             value = getattr(self, field)
             if value is not msgspec.UNSET:
--- a/src/almondshift/standins/engine/weights.py
+++ b/src/almondshift/standins/engine/weights.py
@@ -1,4 +1,4 @@
-"""Loading of layer weights, from the platform's rate-limited store."""
+"""Loading of layer weights from the platform's rate-limited store."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 OK = 200
 MAX_WEIGHTS_BYTES = 1_000_000_000
 REQUEST_TIMEOUT_S = 60.0
-RETRY_AFTER_S = 0.1
+DEFAULT_RETRY_DELAY_S = 0.1
 
 
 class WeightLoader:
@@ -33,7 +33,7 @@
         self.client.close()
 
     async def load(self, model: str, version: int, layer: int) -> None:
-        """Returns when the layer is loaded; tries until it is."""
+        """Loads a layer; retries until it is fetched."""
         if self.settings.platform:
             await self._fetch(model, version, layer)
         await asyncio.sleep(self.settings.load_layer_s)
@@ -42,26 +42,26 @@
         address = self.settings.platform
         url = f"http://{address}/v1/weights/{model}/{version}/{layer}"
         while True:
-            wait_s = await self._try(url)
+            wait_s = await self._fetch_once(url)
             if wait_s is None:
                 return
             await asyncio.sleep(wait_s)
 
-    async def _try(self, url: str) -> float | None:
-        """Returns None if fetched, else after how long to try again."""
+    async def _fetch_once(self, url: str) -> float | None:
+        """Returns None if fetched, else the delay in seconds before a retry."""
         try:
             response = await self.client.fetch(
                 url, raise_error=False, request_timeout=REQUEST_TIMEOUT_S
             )
         except (OSError, httpclient.HTTPError):
-            return RETRY_AFTER_S
+            return DEFAULT_RETRY_DELAY_S
         if response.code == OK:
             return None
-        return _retry_after(response.headers.get("Retry-After"))
+        return _retry_delay_s(response.headers.get("Retry-After"))
 
 
-def _retry_after(header: str | None) -> float:
+def _retry_delay_s(header: str | None) -> float:
     try:
-        return float(header or RETRY_AFTER_S)
+        return float(header or DEFAULT_RETRY_DELAY_S)
     except ValueError:
-        return RETRY_AFTER_S
+        return DEFAULT_RETRY_DELAY_S
--- a/src/almondshift/standins/plain/__main__.py
+++ b/src/almondshift/standins/plain/__main__.py
@@ -11,7 +11,7 @@
 
 
 def create_parser() -> argparse.ArgumentParser:
-    """Creates the parser of the command line."""
+    """Creates the command-line parser."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--name", required=True)
     parser.add_argument("--zone", required=True)
@@ -26,7 +26,7 @@
 
 
 async def run(options: argparse.Namespace) -> None:
-    """Serves until a signal comes, then leaves."""
+    """Serves until SIGTERM or SIGINT, then shuts down gracefully."""
     settings = plain_settings.PlainSettings(
         name=options.name,
         zone=options.zone,
--- a/src/almondshift/standins/plain/handlers.py
+++ b/src/almondshift/standins/plain/handlers.py
@@ -18,7 +18,7 @@
 
 BAD_REQUEST = 400
 UNAVAILABLE = 503
-CRASH_STATUS = 134
+CRASH_EXIT_STATUS = 134
 NOT_RUN_HEADER = "X-Not-Run"
 
 
@@ -26,16 +26,16 @@
     """Base of all handlers."""
 
     def initialize(self, plain: server.PlainServer) -> None:
-        """Takes the service that it serves."""
+        """Stores the service that it serves."""
         self.plain = plain
 
     def send_json(self, content: object) -> None:
-        """Answers with a message as JSON."""
+        """Sends a message as JSON."""
         self.set_header("Content-Type", "application/json")
         self.finish(msgspec.json.encode(content))
 
     def refuse(self, reason: str) -> None:
-        """Answers that nothing was run, and why."""
+        """Responds that nothing was run, with the reason."""
         self.set_status(UNAVAILABLE)
         self.set_header(NOT_RUN_HEADER, "1")
         self.send_json({"reason": reason})
@@ -45,13 +45,13 @@
     """Any method on any path: runs the call and echoes it."""
 
     async def prepare(self) -> None:
-        """Serves the call, whatever its method is."""
+        """Serves a call of any method."""
         faults = self.plain.faults
         if self.plain.leaving or faults.refuse:
-            self.refuse("The service takes no calls now.")
+            self.refuse("The service does not accept calls.")
             return
         if faults.crash:
-            self.plain.settings.exit_process(CRASH_STATUS)
+            self.plain.settings.exit_process(CRASH_EXIT_STATUS)
         self.plain.running += 1
         try:
             await self._run(faults)
@@ -62,7 +62,7 @@
         row = self._record()
         await asyncio.sleep(faults.slow_s)
         if faults.crash_after:
-            self.plain.settings.exit_process(CRASH_STATUS)
+            self.plain.settings.exit_process(CRASH_EXIT_STATUS)
         if faults.swallow_answers > 0:
             faults.swallow_answers -= 1
             self.detach().close()
@@ -92,7 +92,7 @@
     """``GET /control/ledger``."""
 
     def get(self) -> None:
-        """Sends what really ran, in order."""
+        """Sends the calls that ran, in order."""
         record = self.plain.record
         self.send_json({"total": record.total, "rows": list(record.rows)})
 
@@ -101,14 +101,14 @@
     """``POST /control/switches``."""
 
     def post(self) -> None:
-        """Changes the switches of tests."""
+        """Changes the fault switches."""
         try:
             control = msgspec.json.decode(
                 self.request.body, type=switches.Control
             )
         except msgspec.DecodeError as error:
             self.set_status(BAD_REQUEST)
-            self.send_json({"reason": f"Correct the body: {error}."})
+            self.send_json({"reason": f"Malformed body: {error}."})
             return
         control.change(self.plain.faults)
         self.send_json(self.plain.faults)
--- a/src/almondshift/standins/plain/ledger.py
+++ b/src/almondshift/standins/plain/ledger.py
@@ -1,4 +1,4 @@
-"""A record of the calls that really ran, for tests to judge by."""
+"""A record of the calls that ran, for checks by tests."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Ledger:
-    """Executions in their order."""
+    """Executions, in order."""
 
     def __init__(self, limit: int) -> None:
         self.rows: collections.deque[Execution] = collections.deque(
@@ -34,7 +34,7 @@
     def record(
         self, request_id: str, attempt: str, method: str, path: str, digest: str
     ) -> Execution:
-        """Writes that a call runs."""
+        """Records that a call runs."""
         self.total += 1
         row = Execution(self.total, request_id, attempt, method, path, digest)
         self.rows.append(row)
--- a/src/almondshift/standins/plain/server.py
+++ b/src/almondshift/standins/plain/server.py
@@ -1,4 +1,4 @@
-"""The plain service stand-in as a server."""
+"""HTTP server of the plain service stand-in."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 
 class PlainServer(processes.StandIn):
-    """A plain service.
+    """An emulated plain service.
 
     Attributes:
         address: ``host:port``, once started.
-        faults: The switches of tests.
+        faults: The fault switches.
         record: The ledger.
         leaving: Whether calls are refused because it is leaving.
-        running: Calls that run now.
+        running: Number of calls that are running.
     """
 
     def __init__(self, settings: plain_settings.PlainSettings) -> None:
@@ -42,7 +42,7 @@
         self.server = httpserver.HTTPServer(application)
 
     async def start(self) -> None:
-        """Listens."""
+        """Starts listening."""
         sockets = netutil.bind_sockets(self.settings.port, self.settings.host)
         port = sockets[0].getsockname()[1]
         self.address = f"{self.settings.host}:{port}"
@@ -54,7 +54,7 @@
         await self.server.close_all_connections()
 
     def describe_vm(self, state: endpoints.VmState) -> endpoints.Vm:
-        """Returns the service's row in the list of VMs."""
+        """Returns the service's row in the VM list."""
         return endpoints.Vm(
             self.settings.name,
             self.settings.advertise or self.address,
@@ -65,7 +65,7 @@
         )
 
     def begin_leaving(self) -> None:
-        """Refuses calls from now on."""
+        """Starts refusing calls."""
         self.leaving = True
 
     def has_work(self) -> bool:
@@ -78,5 +78,5 @@
 
 
 def create_plain(settings: plain_settings.PlainSettings) -> PlainServer:
-    """Creates a plain service; it is not started yet."""
+    """Creates a plain service without starting it."""
     return PlainServer(settings)
--- a/src/almondshift/standins/plain/settings.py
+++ b/src/almondshift/standins/plain/settings.py
@@ -12,13 +12,14 @@
 
 @dataclasses.dataclass(slots=True)
 class PlainSettings:
-    """How the stand-in behaves; times in seconds.
+    """Configuration of the stand-in; times in seconds.
 
     Attributes:
         service: Name of the service.
-        advertise: ``host:port`` to register in place of the own address,
-            ``""`` for the own; a proxy's, if one stands before it.
-        ledger_limit: Executions kept; the oldest go first.
+        advertise: ``host:port`` to register, such as that of a proxy in front;
+            ``""`` for the address it listens on.
+        ledger_limit: Maximum number of executions kept; the oldest are dropped
+            first.
         grace_s: How long running calls are served after SIGTERM.
         exit_process: Ends the process when a crash is emulated.
     """
--- a/src/almondshift/standins/plain/switches.py
+++ b/src/almondshift/standins/plain/switches.py
@@ -1,4 +1,4 @@
-"""Switches with which tests make the plain service fail."""
+"""Switches with which tests inject faults into the plain service."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class Switches(msgspec.Struct, kw_only=True):
-    """The present faults.
+    """The active faults.
 
     Attributes:
         slow_s: Time that each call takes.
-        swallow_answers: Number of answers to swallow after running.
+        swallow_answers: Number of responses to swallow after running.
         refuse: Answer 503 with ``X-Not-Run`` and run nothing.
-        crash: The process ends when it gets a call; before it runs.
-        crash_after: The process ends after it ran a call.
+        crash: The process exits when it gets a call, before running it.
+        crash_after: The process exits after running a call.
     """
 
     slow_s: float = 0.0
@@ -24,7 +24,7 @@
 
 
 class Control(msgspec.Struct, kw_only=True):
-    """A change of switches; what is left out stays as it is."""
+    """A change of switches; omitted ones keep their value."""
 
     slow_s: float | msgspec.UnsetType = msgspec.UNSET
     swallow_answers: int | msgspec.UnsetType = msgspec.UNSET
@@ -33,7 +33,7 @@
     crash_after: bool | msgspec.UnsetType = msgspec.UNSET
 
     def change(self, switches: Switches) -> None:
-        """Sets the switches that are named."""
+        """Sets the switches that are present."""
         for field in Switches.__struct_fields__:
             value = getattr(self, field)
             if value is not msgspec.UNSET:
--- a/src/almondshift/standins/platform/__main__.py
+++ b/src/almondshift/standins/platform/__main__.py
@@ -13,7 +13,7 @@
 
 
 def create_parser() -> argparse.ArgumentParser:
-    """Creates the parser of the command line."""
+    """Creates the command-line parser."""
     defaults = settings.PlatformSettings()
     parser = argparse.ArgumentParser(
         prog="almondshift.standins.platform",
@@ -24,7 +24,7 @@
     parser.add_argument(
         "--port-file",
         type=pathlib.Path,
-        help="file that gets host:port once the stand-in listens",
+        help="file to write host:port to once the stand-in listens",
     )
     parser.add_argument("--vm-lag-s", type=float, default=defaults.vm_lag_s)
     parser.add_argument(
@@ -34,7 +34,7 @@
 
 
 def write_port_file(path: pathlib.Path, address: str) -> None:
-    """Writes the address so that a reader never sees half of it."""
+    """Writes the address atomically; readers never see a partial file."""
     temporary = path.with_name(f"{path.name}.{os.getpid()}")
     temporary.write_text(f"{address}\n")
     temporary.replace(path)
--- a/src/almondshift/standins/platform/counters.py
+++ b/src/almondshift/standins/platform/counters.py
@@ -1,4 +1,4 @@
-"""Counts of reads and writes, in total and for each second."""
+"""Counts of reads and writes, in total and per second."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Counts(msgspec.Struct):
-    """What the stand-in served.
+    """Counts of served requests.
 
     Attributes:
         reads: Requests that read, in total.
@@ -33,7 +33,7 @@
 
 
 class Counters:
-    """Counts requests by the second in which they came."""
+    """Counts requests by the second in which they arrive."""
 
     def __init__(self, clock: clocks.Clock) -> None:
         self.clock = clock
@@ -44,7 +44,7 @@
 
     def count_read(self) -> None:
         """Counts a request that reads."""
-        self._turn()
+        self._advance_second()
         self.reads += 1
         self.counts.reads += 1
         self.counts.peak_reads_per_s = max(
@@ -53,7 +53,7 @@
 
     def count_write(self, rows: int) -> None:
         """Counts a request that writes ``rows`` rows."""
-        self._turn()
+        self._advance_second()
         self.writes += 1
         self.counts.writes += 1
         self.counts.rows += rows
@@ -63,16 +63,16 @@
 
     def current(self) -> Counts:
         """Returns the counts up to now."""
-        self._turn()
+        self._advance_second()
         return self.counts
 
-    def _turn(self) -> None:
+    def _advance_second(self) -> None:
         second = int(self.clock.monotonic())
         if second == self.second:
             return
-        was_last = second == self.second + 1
-        self.counts.reads_per_s = self.reads if was_last else 0
-        self.counts.writes_per_s = self.writes if was_last else 0
+        is_next_second = second == self.second + 1
+        self.counts.reads_per_s = self.reads if is_next_second else 0
+        self.counts.writes_per_s = self.writes if is_next_second else 0
         self.second = second
         self.reads = 0
         self.writes = 0
--- a/src/almondshift/standins/platform/faults.py
+++ b/src/almondshift/standins/platform/faults.py
@@ -1,4 +1,4 @@
-"""Switches that make the stand-in fail, for each group of paths."""
+"""Switches that inject faults into the stand-in, per group of paths."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Down(enum.StrEnum):
-    """How a group is down."""
+    """How a group is unavailable."""
 
     NO = "no"
     REFUSE = "refuse"
@@ -31,17 +31,17 @@
 
 
 class Switch(msgspec.Struct, forbid_unknown_fields=True):
-    """The state of the switches of one group, or of all.
+    """The switches of some groups, or of all.
 
     Attributes:
         groups: Groups to set; empty for all.
         down: ``refuse`` answers 503 at once; ``hang`` holds requests until
-            the next change, after which they take effect late.
-        delay_s: Added before each request takes effect.
-        lose_next: Number of next writes whose answer is lost after they
-            took effect: the connection closes without an answer.
-        lose_share: Share of writes whose answer is lost, 0 to 1.
-        seed: Seed of the draws for ``lose_share``.
+            the next change of the switches, and then processes them.
+        delay_s: Delay before each request takes effect.
+        lose_next: Number of subsequent writes whose response is lost: they take
+            effect, but the connection closes without a response.
+        lose_share: Fraction of writes whose response is lost, 0 to 1.
+        seed: Seed of the random choices for ``lose_share``.
     """
 
     groups: list[Group] = []
@@ -63,7 +63,7 @@
         self.changed = asyncio.Event()
 
     def set(self, switch: Switch) -> None:
-        """Sets the switches and lets held requests look again."""
+        """Sets the switches and lets held requests check them again."""
         self.switch = switch
         self.random = random.Random(switch.seed)
         self.lose_next = switch.lose_next
@@ -71,7 +71,7 @@
         self.changed = asyncio.Event()
 
     async def admit(self) -> bool:
-        """Waits as the switches say; returns False to refuse."""
+        """Waits as the switches require; returns False to refuse."""
         while self.switch.down is Down.HANG:
             await self.changed.wait()
         if self.switch.down is Down.REFUSE:
@@ -80,8 +80,8 @@
             await self.clock.sleep(self.switch.delay_s)
         return True
 
-    def loses_answer(self) -> bool:
-        """Returns whether the answer to this write is to be lost."""
+    def should_lose_response(self) -> bool:
+        """Returns whether to lose the response to this write."""
         if self.lose_next > 0:
             self.lose_next -= 1
             return True
@@ -96,6 +96,6 @@
         self.groups = {group: GroupFaults(clock) for group in Group}
 
     def set(self, switch: Switch) -> None:
-        """Sets the groups that the switch names, or all."""
+        """Sets the groups that the switch names; all if it names none."""
         for group in switch.groups or list(Group):
             self.groups[group].set(switch)
--- a/src/almondshift/standins/platform/handlers.py
+++ b/src/almondshift/standins/platform/handlers.py
@@ -28,38 +28,40 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlatformState:
-    """All that the handlers share."""
+    """State that the handlers share."""
 
     settings: settings.PlatformSettings
     tables: tables.MemoryTables
     objects: dict[str, bytes]
     vms: vms.LaggingVms
-    weights: weights.WeightsQueue
+    weights: weights.WeightsRateLimiter
     faults: faults.Faults
     counters: counters.Counters
 
 
 class BaseHandler(web.RequestHandler):
-    """Answers in JSON."""
+    """Base of all handlers; responds in JSON."""
 
     state: PlatformState
 
     def initialize(self, state: PlatformState) -> None:
-        """Keeps what the handlers share."""
+        """Stores the shared state."""
         self.state = state
 
-    def answer(self, body: msgspec.Struct, status: int = 200) -> None:
+    def send_json(self, body: msgspec.Struct, status: int = 200) -> None:
         """Sends a JSON body."""
         self.set_status(status)
         self.set_header("Content-Type", "application/json")
         self.finish(msgspec.json.encode(body))
 
     def refuse(self, status: int, kind: str, detail: str = "") -> None:
-        """Sends a refusal; nothing took effect."""
-        self.answer(platform_messages.ProblemBody(kind, False, detail), status)
+        """Sends an error response; the request took no effect."""
+        self.send_json(
+            platform_messages.ProblemBody(kind, False, detail), status
+        )
 
     def decode(self, body_type: type[Body]) -> Body | None:
-        """Decodes the request's body, or refuses it and returns None."""
+        """Decodes the body, or rejects it and returns None."""
         try:
             return msgspec.json.decode(self.request.body, type=body_type)
         except msgspec.MsgspecError as error:
@@ -68,19 +70,19 @@
 
 
 class FaultyHandler(BaseHandler):
-    """Fails as the switches of its group say."""
+    """Injects the faults that are set for its group."""
 
     group: ClassVar[faults.Group]
 
     async def prepare(self) -> None:
-        """Waits or refuses before the request takes effect."""
+        """Delays or refuses the request before it takes effect."""
         if not await self.state.faults.groups[self.group].admit():
             self.set_header("Retry-After", "1")
             self.refuse(503, "unavailable")
 
-    def loses_answer(self) -> bool:
-        """Closes the connection unanswered if the switches say so."""
-        if not self.state.faults.groups[self.group].loses_answer():
+    def lose_response_if_set(self) -> bool:
+        """Closes the connection without a response if the switches say so."""
+        if not self.state.faults.groups[self.group].should_lose_response():
             return False
         self.detach().close()
         return True
@@ -98,7 +100,7 @@
         if row is None:
             self.refuse(404, "not_found")
             return
-        self.answer(_row_body(row))
+        self.send_json(_row_body(row))
 
 
 class RowsHandler(FaultyHandler):
@@ -112,7 +114,7 @@
         prefix = self.get_query_argument("prefix", "", strip=False)
         limit = int(self.get_query_argument("limit", str(DEFAULT_SCAN_LIMIT)))
         rows = self.state.tables.scan(table, prefix, limit)
-        self.answer(
+        self.send_json(
             platform_messages.RowsBody([_row_body(row) for row in rows])
         )
 
@@ -133,12 +135,12 @@
         ]
         self.state.counters.count_write(len(writes))
         result = self.state.tables.transact(writes)
-        if self.loses_answer():
+        if self.lose_response_if_set():
             return
         if result.is_error():
             self.refuse(409, "condition_failed", result.error.detail)
             return
-        self.answer(platform_messages.RevisionsBody(result.ok))
+        self.send_json(platform_messages.RevisionsBody(result.ok))
 
 
 class ObjectHandler(FaultyHandler):
@@ -160,7 +162,7 @@
         """Writes an object."""
         self.state.counters.count_write(1)
         self.state.objects[key] = self.request.body
-        if not self.loses_answer():
+        if not self.lose_response_if_set():
             self.set_status(204)
 
 
@@ -172,7 +174,7 @@
     async def get(self) -> None:
         """Lists VMs."""
         self.state.counters.count_read()
-        self.answer(platform_messages.VmsBody(self.state.vms.list()))
+        self.send_json(platform_messages.VmsBody(self.state.vms.list()))
 
 
 class VmHandler(FaultyHandler):
@@ -186,13 +188,13 @@
         if body is None:
             return
         self.state.vms.change(name, body)
-        if not self.loses_answer():
+        if not self.lose_response_if_set():
             self.set_status(204)
 
     async def delete(self, name: str) -> None:
         """Deletes a VM."""
         self.state.vms.change(name, None)
-        if not self.loses_answer():
+        if not self.lose_response_if_set():
             self.set_status(204)
 
 
@@ -202,13 +204,13 @@
     group = faults.Group.WEIGHTS
 
     async def get(self, model: str, version: str, layer: str) -> None:
-        """Hands out the weights of a layer when its turn has come."""
-        queue = self.state.weights
-        if queue.is_full():
-            self.set_header("Retry-After", str(math.ceil(queue.wait_s())))
+        """Sends the weights of a layer at a limited rate."""
+        limiter = self.state.weights
+        if limiter.is_full():
+            self.set_header("Retry-After", str(math.ceil(limiter.wait_s())))
             self.refuse(429, "rate_limited")
             return
-        await queue.take_turn()
+        await limiter.acquire()
         size = self.state.settings.layer_bytes
         content = weights.layer_weights(model, int(version), int(layer), size)
         self.set_header("Content-Type", "application/octet-stream")
@@ -219,8 +221,8 @@
     """``GET`` and ``POST /v1/control``."""
 
     async def get(self) -> None:
-        """Answers with the counts."""
-        self.answer(self.state.counters.current())
+        """Sends the request counts."""
+        self.send_json(self.state.counters.current())
 
     async def post(self) -> None:
         """Sets switches; see ``faults.Switch`` for the body."""
--- a/src/almondshift/standins/platform/server.py
+++ b/src/almondshift/standins/platform/server.py
@@ -1,4 +1,4 @@
-"""The platform stand-in as an HTTP server."""
+"""HTTP server of the platform stand-in."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class PlatformServer:
-    """Serves the stand-in; its state can be reached in the same process."""
+    """Serves the stand-in; code in the same process can use its state."""
 
     def __init__(self, state: handlers.PlatformState) -> None:
         self.state = state
@@ -24,7 +24,7 @@
         self.server: httpserver.HTTPServer | None = None
 
     async def start(self) -> None:
-        """Listens; ``address`` is ``host:port`` from then on."""
+        """Starts listening and sets ``address`` to ``host:port``."""
         settings = self.state.settings
         sockets = netutil.bind_sockets(settings.port, settings.host)
         application = handlers.create_application(self.state)
@@ -33,7 +33,7 @@
         self.address = f"{settings.host}:{sockets[0].getsockname()[1]}"
 
     async def close(self) -> None:
-        """Stops listening, lets held requests go, closes connections."""
+        """Stops listening, refuses held requests, closes connections."""
         if self.server is None:
             return
         self.server.stop()
@@ -45,14 +45,14 @@
 def create_platform(
     settings: settings_module.PlatformSettings,
 ) -> PlatformServer:
-    """Creates the stand-in; ``start`` makes it listen."""
+    """Creates the stand-in without starting it."""
     clock = system_clock.create_system_clock()
     state = handlers.PlatformState(
         settings=settings,
         tables=tables.MemoryTables(),
         objects={},
         vms=vms.LaggingVms(clock, settings.vm_lag_s),
-        weights=weights.WeightsQueue(
+        weights=weights.WeightsRateLimiter(
             clock, settings.weights_per_s, settings.weights_queue_s
         ),
         faults=faults.Faults(clock),
--- a/src/almondshift/standins/platform/settings.py
+++ b/src/almondshift/standins/platform/settings.py
@@ -7,14 +7,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlatformSettings:
-    """What the stand-in is told when it is created.
+    """Configuration of the stand-in.
 
     Attributes:
-        port: 0 lets the operating system choose.
-        vm_lag_s: Seconds until the VM list shows a change.
-        weights_per_s: Layers of weights handed out in a second.
-        weights_queue_s: Longest wait for weights; beyond it, 429.
-        layer_bytes: Bytes of one layer of weights.
+        port: Port to listen on; 0 lets the OS choose.
+        vm_lag_s: Delay in seconds until the VM list shows a change.
+        weights_per_s: Layers of weights sent per second.
+        weights_queue_s: Maximum wait for weights in seconds; beyond it,
+            requests get 429.
+        layer_bytes: Size of the weights of one layer.
     """
 
     host: str = "127.0.0.1"
--- a/src/almondshift/standins/platform/tables.py
+++ b/src/almondshift/standins/platform/tables.py
@@ -1,4 +1,4 @@
-"""A table in memory with conditional writes of several rows."""
+"""In-memory tables with conditional writes of several rows."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class MemoryTables:
-    """Tables by name; revisions grow over all tables, also past deletes."""
+    """Tables by name; one revision counter for all, kept across deletes."""
 
     def __init__(self) -> None:
         self.rows: dict[tuple[str, str], stores.Row] = {}
@@ -28,7 +28,7 @@
         return copy.deepcopy(self.rows.get((table, key)))
 
     def scan(self, table: str, prefix: str, limit: int) -> list[stores.Row]:
-        """Returns up to ``limit`` rows below a prefix, in key order."""
+        """Returns up to ``limit`` rows with a key prefix, in key order."""
         keys = self.keys.get(table, [])
         found: list[stores.Row] = []
         for key in keys[bisect.bisect_left(keys, prefix) :]:
@@ -40,7 +40,7 @@
     def transact(
         self, writes: Sequence[stores.Write]
     ) -> expression.Result[list[int], errors.ConditionFailed]:
-        """Applies all writes, or none and ``ConditionFailed``."""
+        """Applies all writes, or none and returns ``ConditionFailed``."""
         for write in writes:
             if not self._condition_holds(write):
                 return expression.Error(
@@ -59,15 +59,15 @@
         return revision == write.if_revision
 
     def _apply(self, write: stores.Write) -> int:
-        place = (write.table, write.key)
+        row_id = (write.table, write.key)
         if write.value is None:
-            if self.rows.pop(place, None) is not None:
+            if self.rows.pop(row_id, None) is not None:
                 self.keys[write.table].remove(write.key)
             return 0
         self.last_revision += 1
-        if place not in self.rows:
+        if row_id not in self.rows:
             bisect.insort(self.keys.setdefault(write.table, []), write.key)
-        self.rows[place] = stores.Row(
+        self.rows[row_id] = stores.Row(
             table=write.table,
             key=write.key,
             value=copy.deepcopy(write.value),
--- a/src/almondshift/standins/platform/vms.py
+++ b/src/almondshift/standins/platform/vms.py
@@ -1,4 +1,4 @@
-"""A list of VMs that shows changes late."""
+"""A VM list that shows changes with a delay."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Change:
-    """A change that shows from ``visible_at``; no body means deleted."""
+    """A change visible from ``visible_at`` on; no body means deleted."""
 
     visible_at: float
     name: str
@@ -30,12 +30,12 @@
         self.pending: collections.deque[Change] = collections.deque()
 
     def change(self, name: str, body: platform_messages.VmBody | None) -> None:
-        """Puts a VM, or deletes it if there is no body."""
+        """Writes a VM, or deletes it if there is no body."""
         visible_at = self.clock.monotonic() + self.lag_s
         self.pending.append(Change(visible_at, name, body))
 
     def list(self) -> list[platform_messages.VmBody]:
-        """Returns the VMs that show now, by name."""
+        """Returns the currently visible VMs, sorted by name."""
         now = self.clock.monotonic()
         while self.pending and self.pending[0].visible_at <= now:
             change = self.pending.popleft()
--- a/src/almondshift/standins/processes.py
+++ b/src/almondshift/standins/processes.py
@@ -1,4 +1,4 @@
-"""What the stand-ins' daemons share: port file, signals and leaving."""
+"""Common to the stand-in daemons: port file, signals, graceful shutdown."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from almondshift.model import endpoints
 from almondshift.standins import registrations
 
-POLL_S = 0.05
+DRAIN_POLL_INTERVAL_S = 0.05
 
 
 class StandIn(abc.ABC):
-    """An endpoint that can run as a process of its own.
+    """An endpoint that can run as a separate process.
 
     Attributes:
         address: ``host:port``, once started.
@@ -25,7 +25,7 @@
 
     @abc.abstractmethod
     async def start(self) -> None:
-        """Listens."""
+        """Starts listening."""
 
     @abc.abstractmethod
     async def close(self) -> None:
@@ -33,19 +33,19 @@
 
     @abc.abstractmethod
     def describe_vm(self, state: endpoints.VmState) -> endpoints.Vm:
-        """Returns the endpoint's row in the list of VMs."""
+        """Returns the endpoint's row in the VM list."""
 
     @abc.abstractmethod
     def begin_leaving(self) -> None:
-        """Refuses new work from now on."""
+        """Starts refusing new work."""
 
     @abc.abstractmethod
     def has_work(self) -> bool:
-        """Returns whether work that was begun is not finished."""
+        """Returns whether any accepted work is unfinished."""
 
 
 def write_port_file(path: str, address: str) -> None:
-    """Writes ``host:port`` so that a reader sees all of it or no file."""
+    """Writes ``host:port`` atomically: a reader sees all of it or no file."""
     target = pathlib.Path(path)
     partial = target.with_name(f"{target.name}.{os.getpid()}.part")
     partial.write_text(address)
@@ -53,7 +53,7 @@
 
 
 def watch_signals() -> asyncio.Event:
-    """Returns an event that the first SIGTERM or SIGINT sets."""
+    """Returns an event that is set by the first SIGTERM or SIGINT."""
     stopped = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -64,13 +64,13 @@
 async def serve(
     endpoint: StandIn, platform: str, port_file: str, grace_s: float
 ) -> None:
-    """Serves until a signal comes, then leaves.
+    """Serves until SIGTERM or SIGINT, then shuts down gracefully.
 
     Args:
-        endpoint: What to serve.
+        endpoint: The endpoint to serve.
         platform: ``host:port`` of the platform, ``""`` for none.
-        port_file: Where to write the address, ``""`` for nowhere.
-        grace_s: Longest time to finish work that was begun.
+        port_file: File to write the address to, ``""`` for none.
+        grace_s: Maximum time to finish accepted work.
     """
     stopped = watch_signals()
     registration = registrations.Registration(platform)
@@ -80,30 +80,30 @@
     live = endpoint.describe_vm(endpoints.VmState.LIVE)
     registering = asyncio.create_task(registration.put(live))
     await stopped.wait()
-    await stop(registering)
-    await leave(endpoint, registration, grace_s)
+    await cancel_task(registering)
+    await drain_and_deregister(endpoint, registration, grace_s)
     await endpoint.close()
     registration.close()
 
 
-async def leave(
+async def drain_and_deregister(
     endpoint: StandIn,
     registration: registrations.Registration,
     grace_s: float,
 ) -> None:
-    """Says that the endpoint is leaving and finishes what was begun."""
+    """Announces that the endpoint is leaving, drains and deregisters it."""
     endpoint.begin_leaving()
     leaving = endpoint.describe_vm(endpoints.VmState.LEAVING)
-    telling = asyncio.create_task(registration.put(leaving))
+    announcing = asyncio.create_task(registration.put(leaving))
     loop = asyncio.get_running_loop()
     deadline = loop.time() + grace_s
     while endpoint.has_work() and loop.time() < deadline:
-        await asyncio.sleep(POLL_S)
-    await stop(telling)
+        await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
+    await cancel_task(announcing)
     await registration.remove(leaving)
 
 
-async def stop(task: asyncio.Task[None]) -> None:
-    """Cancels a task and waits for its end."""
+async def cancel_task(task: asyncio.Task[None]) -> None:
+    """Cancels a task and waits until it has ended."""
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
--- a/src/almondshift/standins/reference.py
+++ b/src/almondshift/standins/reference.py
@@ -1,10 +1,10 @@
-"""The arithmetic of the stand-in model, and the right answer computed directly.
+"""Arithmetic of the stand-in model, and direct computation of its output.
 
-An activation is an xxh64 digest over the layer, the position, the KV state of
+An activation is an xxh64 digest of the layer, the position, the KV state of
 that layer and the input, seeded with the model, version and adapter. The KV
-state of a layer is its last activation, so it stands for all positions before
-it. A layer that is skipped, doubled or swapped, or the KV state of another
-session, changes each activation after it and so the answer.
+state of a layer is its last activation and so depends on all positions before
+it. A layer that is skipped, repeated or swapped, or the KV state of another
+session, changes every later activation and thus the output.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 def model_seed(model: str, version: int, adapter: str) -> int:
-    """Returns the seed that stands for the weights of a model."""
+    """Returns the seed that represents the weights of a model."""
     return prefixes.seed(model, version, adapter)
 
 
--- a/src/almondshift/standins/registrations.py
+++ b/src/almondshift/standins/registrations.py
@@ -1,4 +1,4 @@
-"""A stand-in's row in the platform's list of VMs."""
+"""Registration of a stand-in in the platform's VM list."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 _logger = logging.getLogger(__name__)
 
-FIRST_RETRY_S = 0.05
-LAST_RETRY_S = 1.0
+INITIAL_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 1.0
 REQUEST_TIMEOUT_S = 2.0
 
 
 class Registration:
-    """Writes and removes one row.
+    """Writes and removes a stand-in's row in the VM list.
 
     Args:
         platform: ``host:port`` of the platform, ``""`` for none.
@@ -38,14 +38,14 @@
         self.client.close()
 
     async def put(self, vm: endpoints.Vm) -> None:
-        """Writes the row; tries until the platform takes it."""
-        retry_s = FIRST_RETRY_S
+        """Writes the row; retries until the platform accepts it."""
+        backoff_s = INITIAL_BACKOFF_S
         while self.platform and not await self._call("PUT", vm):
-            await asyncio.sleep(retry_s)
-            retry_s = min(2 * retry_s, LAST_RETRY_S)
+            await asyncio.sleep(backoff_s)
+            backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
 
     async def remove(self, vm: endpoints.Vm) -> None:
-        """Removes the row; tries once, since the process is ending."""
+        """Removes the row; does not retry, since the process is exiting."""
         if self.platform:
             await self._call("DELETE", vm)
 
@@ -60,6 +60,8 @@
         try:
             await self.client.fetch(request)
         except (OSError, httpclient.HTTPError) as error:
-            _logger.warning("%s of the VM row failed: %s", method, error)
+            _logger.warning(
+                "%s request for the VM row failed: %s", method, error
+            )
             return False
         return True
--- a/tests/standins/test_engine_batches.py
+++ b/tests/standins/test_engine_batches.py
@@ -46,7 +46,7 @@
         waiting = [rig.engine.batcher.submit(item) for item in items]
         begun_at = rig.engine.batcher.queue[0].arrived_at
         await asyncio.gather(*waiting)
-        seconds = rig.engine.batcher.free_at - begun_at
+        seconds = rig.engine.batcher.busy_until - begun_at
 
     assert seconds == pytest.approx(expected_s, abs=0.005)
 
@@ -113,6 +113,6 @@
     link = links.Link(0.01, 1000.0)
     loop = asyncio.get_running_loop()
     begun_at = loop.time()
-    await asyncio.gather(*(link.carry(50) for _ in range(3)))
+    await asyncio.gather(*(link.transfer(50) for _ in range(3)))
 
     assert loop.time() - begun_at >= 0.159
--- a/tests/standins/test_engine_orders.py
+++ b/tests/standins/test_engine_orders.py
@@ -48,7 +48,7 @@
         loads.append(layer)
 
     async with rigs.run_engine() as rig:
-        rig.engine.held.load_layer = load
+        rig.engine.holding_table.load_layer = load
         await rig.order()
         await rig.order()
         assert await rig.ready_versions() == []
@@ -74,9 +74,9 @@
         )
 
         assert await rig.statuses(*items) == ["ok", "wrong_model", "ok"]
-        assert len(rig.engine.held.loaded) == 8
+        assert len(rig.engine.holding_table.loaded) == 8
         await rig.client.cancel(["s"])
-        assert len(rig.engine.held.loaded) == 4
+        assert len(rig.engine.holding_table.loaded) == 4
 
 
 @asynchronous.run
@@ -97,7 +97,7 @@
         assert await rig.ready_versions() == []
         await rig.client.cancel(["s"])
         await rig.serve(version=2, fencing=2)
-        assert len(rig.engine.held.loaded) == 4
+        assert len(rig.engine.holding_table.loaded) == 4
 
 
 @asynchronous.run
@@ -119,11 +119,13 @@
             await asyncio.Event().wait()
 
     async with rigs.run_engine(layer_capacity=4) as rig:
-        rig.engine.held.load_layer = load
+        rig.engine.holding_table.load_layer = load
         await rig.order()
         await rig.serve(version=2, fencing=2)
 
-        assert [entry.version for entry in rig.engine.held.entries] == [2]
+        assert [
+            entry.version for entry in rig.engine.holding_table.entries
+        ] == [2]
 
 
 @asynchronous.run
--- a/tests/standins/test_platform.py
+++ b/tests/standins/test_platform.py
@@ -99,10 +99,12 @@
 def test_weights_are_handed_out_at_the_rate() -> None:
     async def case() -> None:
         clock = clocks.VirtualClock()
-        queue = weights.WeightsQueue(clock, per_s=10.0, longest_wait_s=0.5)
-        turns = [asyncio.create_task(queue.take_turn()) for _ in range(7)]
+        limiter = weights.WeightsRateLimiter(
+            clock, layers_per_s=10.0, max_wait_s=0.5
+        )
+        turns = [asyncio.create_task(limiter.acquire()) for _ in range(7)]
         await clocks.settle()
-        assert queue.is_full()
+        assert limiter.is_full()
         await clock.advance(0.31)
         assert [turn.done() for turn in turns].count(True) == 4
         await clock.advance(1.0)
