--- a/tests/faults/echo.py
+++ b/tests/faults/echo.py
@@ -1,4 +1,4 @@
-"""A process that echoes TCP bytes; the least that can be started."""
+"""A TCP echo server as a minimal process for tests."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 async def run(port_file: pathlib.Path) -> None:
     server = await asyncio.start_server(echo, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
-    draft = port_file.with_suffix(".draft")
-    draft.write_text(f"127.0.0.1:{port}\n")
-    draft.replace(port_file)
+    temporary = port_file.with_suffix(".draft")
+    temporary.write_text(f"127.0.0.1:{port}\n")
+    temporary.replace(port_file)
     await server.serve_forever()
 
 
--- a/tests/faults/ledgers.py
+++ b/tests/faults/ledgers.py
@@ -1,4 +1,4 @@
-"""Judges by the engines' ledger files what really ran for a request."""
+"""Checks of what ran for a request, based on the engines' ledger files."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Session:
-    """All that ran in one session on one engine."""
+    """The items that ran in one session on one engine."""
 
     runs: list[Run]
 
@@ -60,7 +60,7 @@
 
 
 def read(path: pathlib.Path, engine: str) -> list[Run]:
-    """Reads a ledger file; a line that is half written is left out."""
+    """Reads a ledger file; skips an incomplete last line."""
     if not path.exists():
         return []
     lines = path.read_bytes().split(b"\n")[:-1]
@@ -74,71 +74,77 @@
 
 def sessions(runs: Iterable[Run]) -> list[Session]:
     """Groups runs; a session id on two engines gives two sessions."""
-    found: dict[tuple[str, str], list[Run]] = collections.defaultdict(list)
+    runs_by_session: dict[tuple[str, str], list[Run]] = collections.defaultdict(
+        list
+    )
     for run in runs:
-        found[run.engine, run.session].append(run)
-    return [Session(grouped) for grouped in found.values()]
+        runs_by_session[run.engine, run.session].append(run)
+    return [Session(grouped) for grouped in runs_by_session.values()]
 
 
 def check(runs: list[Run], layer_count: int, positions: int) -> None:
     """Checks that every layer ran once and in order for each position.
 
     Args:
-        runs: All that ran for one request, on all engines.
+        runs: All items that ran for one request, on all engines.
         layer_count: Layers of the model.
-        positions: Positions that the whole answer takes.
+        positions: Number of positions that the complete answer requires.
 
     Raises:
-        AssertionError: Names the session, layer or position.
+        AssertionError: The message names the session, layer or position.
     """
-    found = sessions(runs)
-    for session in found:
+    all_sessions = sessions(runs)
+    for session in all_sessions:
         check_session(session)
-    check_cover(found, layer_count, positions)
+    check_cover(all_sessions, layer_count, positions)
     check_order(runs, layer_count, positions)
 
 
 def check_session(session: Session) -> None:
-    """Checks one run for each position, in order, of one layer range."""
+    """Checks that each position ran once, in order, on one layer range."""
     first = session.first
     expected = first.position
     for run in session.runs:
         assert (run.start, run.end) == (first.start, first.end), run
         assert run.position == expected, (
             f"{run.engine} ran position {run.position} of {run.session} "
-            f"where {expected} was due"
+            f"instead of {expected}"
         )
         expected = run.stop
 
 
-def check_cover(found: list[Session], layer_count: int, positions: int) -> None:
-    """Checks that the last sessions cover each layer once, from 0 on."""
+def check_cover(
+    all_sessions: list[Session], layer_count: int, positions: int
+) -> None:
+    """Checks that the final sessions cover each layer from 0 on once."""
     chosen = {
         id(session): session
         for session in (
-            last_session(found, layer, positions)
+            last_session(all_sessions, layer, positions)
             for layer in range(layer_count)
         )
     }
     covered = sum(s.first.end - s.first.start for s in chosen.values())
     assert covered == layer_count, [s.first for s in chosen.values()]
     for session in chosen.values():
-        check_origin(session, found)
+        check_origin(session, all_sessions)
 
 
-def last_session(found: list[Session], layer: int, positions: int) -> Session:
-    """Returns the session of the highest epoch that ran to the end."""
-    ended = [s for s in found if s.holds(layer) and s.stop == positions]
+def last_session(
+    all_sessions: list[Session], layer: int, positions: int
+) -> Session:
+    """Returns the completed session with the highest epoch for a layer."""
+    ended = [s for s in all_sessions if s.holds(layer) and s.stop == positions]
     assert ended, f"layer {layer} never ran position {positions - 1}"
     return max(ended, key=lambda s: s.first.epoch)
 
 
-def check_origin(session: Session, found: list[Session]) -> None:
-    """Checks that a session that was imported goes on where another ended."""
+def check_origin(session: Session, all_sessions: list[Session]) -> None:
+    """Checks that an imported session continues where another one ended."""
     while session.begin > 0:
         sources = [
             other
-            for other in found
+            for other in all_sessions
             if other.first.start == session.first.start
             and other.first.end == session.first.end
             and other.first.epoch < session.first.epoch
@@ -151,7 +157,7 @@
 def check_order(runs: list[Run], layer_count: int, positions: int) -> None:
     """Checks that a layer ran a position only after the layer below it.
 
-    A replay runs positions again in a new session, so the first time counts.
+    A replay repeats positions in a new session, so the first run counts.
     """
     first = [[float("inf")] * positions for _ in range(layer_count)]
     for run in runs:
--- a/tests/faults/processes.py
+++ b/tests/faults/processes.py
@@ -1,4 +1,4 @@
-"""Real processes under test: started, signalled and always ended."""
+"""Starts and signals real processes under test, and always ends them."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     import pathlib
 
 START_S = 20.0
-END_S = 5.0
+EXIT_TIMEOUT_S = 5.0
 POLL_S = 0.02
 LOG_TAIL_BYTES = 4_000
 
@@ -27,7 +27,7 @@
 
     Attributes:
         name: Unique in its test; names its log and port file.
-        address: ``host:port`` it wrote to its port file.
+        address: ``host:port`` that it wrote to its port file.
     """
 
     def __init__(
@@ -49,46 +49,46 @@
         return self.popen.pid
 
     def is_running(self) -> bool:
-        """Returns whether it has not ended; a stopped one has not."""
+        """Returns whether it has not exited; true for a suspended process."""
         return self.popen.poll() is None
 
     def signal(self, number: signal.Signals) -> None:
-        """Sends a signal to this process, if it still runs."""
+        """Sends a signal to this process if it is running."""
         if self.is_running():
             os.kill(self.pid, number)
 
     def kill(self) -> None:
-        """Ends it at once and waits for it."""
+        """Kills it with SIGKILL and waits for its exit."""
         self.signal(signal.SIGKILL)
-        self.popen.wait(END_S)
+        self.popen.wait(EXIT_TIMEOUT_S)
 
     def freeze(self) -> None:
-        """Stops it without its notice."""
+        """Suspends it with SIGSTOP."""
         self.signal(signal.SIGSTOP)
 
     def thaw(self) -> None:
-        """Lets a stopped process go on."""
+        """Resumes it after ``freeze``."""
         self.signal(signal.SIGCONT)
 
     def terminate(self) -> None:
-        """Asks it to end gracefully; does not wait."""
+        """Requests a graceful exit with SIGTERM; does not wait."""
         self.signal(signal.SIGTERM)
 
     def log(self) -> str:
-        """Returns the end of what it wrote."""
+        """Returns the end of its log."""
         content = self.log_file.read_bytes()[-LOG_TAIL_BYTES:]
         return content.decode(errors="replace")
 
 
 class ProcessRunner:
-    """Starts processes and ends all of them in ``close``."""
+    """Starts processes and kills all of them in ``close``."""
 
     def __init__(self, folder: pathlib.Path) -> None:
         self.folder = folder
         self.processes: dict[str, ChildProcess] = {}
 
     def launch(self, name: str, module: str, *arguments: str) -> ChildProcess:
-        """Starts ``python -m module`` and does not wait for its address."""
+        """Starts ``python -m module`` without waiting for its address."""
         port_file = self.folder / f"{name}.port"
         log_file = self.folder / f"{name}.log"
         port_file.unlink(missing_ok=True)
@@ -102,25 +102,25 @@
                 stderr=subprocess.STDOUT,
             )
         process = ChildProcess(name, popen, port_file, log_file)
-        former = self.processes.get(name)
-        if former is not None and former.is_running():
+        previous = self.processes.get(name)
+        if previous is not None and previous.is_running():
             process.kill()
-            raise ValueError(f"process {name} still runs")
+            raise ValueError(f"process {name} is still running")
         self.processes[name] = process
         return process
 
     def ready(self, process: ChildProcess) -> bool:
-        """Returns whether a process wrote its address; reads it.
+        """Returns whether a process wrote its address, and stores it.
 
         Raises:
-            RuntimeError: If it ended; the message has the end of its log.
+            RuntimeError: If it exited; the message has the end of its log.
         """
         if not process.is_running():
-            raise RuntimeError(f"{process.name} ended:\n{process.log()}")
+            raise RuntimeError(f"{process.name} exited:\n{process.log()}")
         if not process.port_file.exists():
             return False
-        first = process.port_file.read_text().splitlines()[0]
-        process.address = first.removeprefix("entry=").strip()
+        first_line = process.port_file.read_text().splitlines()[0]
+        process.address = first_line.removeprefix("entry=").strip()
         return True
 
     async def start(
@@ -150,7 +150,7 @@
         )
 
     def close(self) -> None:
-        """Ends every process; a stopped one too."""
+        """Kills every process, including suspended ones."""
         for process in self.processes.values():
             with contextlib.suppress(ProcessLookupError):
                 process.kill()
@@ -158,7 +158,7 @@
 
 @contextlib.contextmanager
 def running(folder: pathlib.Path) -> Iterator[ProcessRunner]:
-    """Yields a runner and ends its processes, also when the test fails."""
+    """Yields a runner and kills its processes, even if the test fails."""
     runner = ProcessRunner(folder)
     try:
         yield runner
@@ -172,7 +172,7 @@
     """Waits for a condition; returns the seconds that it took.
 
     Raises:
-        AssertionError: If it did not hold in time; names ``what``.
+        AssertionError: If it did not hold in time; the message has ``what``.
     """
     started = time.monotonic()
     while not condition():
--- a/tests/faults/proxy.py
+++ b/tests/faults/proxy.py
@@ -11,38 +11,38 @@
 
 CHUNK_BYTES = 65_536
 POLL_S = 0.005
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)
+LINGER_ZERO = struct.pack("ii", 1, 0)
 
 
 class Direction(enum.StrEnum):
-    """Which way bytes go; the caller's requests go up."""
+    """Direction of bytes; requests of the client go up."""
 
     UP = "up"
     DOWN = "down"
 
 
 class FaultProxy:
-    """Forwards connections to one upstream; its attributes are switches.
+    """Forwards connections to one upstream; attributes set its faults.
 
     Attributes:
         upstream: ``host:port`` that connections are forwarded to.
         address: ``host:port`` to connect to, after ``start``.
         delay_s: Delay of each chunk, in each direction.
-        silent: Directions in which bytes are held back; they go on when
-            the direction is taken out, as TCP would retransmit them.
-        swallow_answers: Whether what the upstream sends is dropped.
-        request_limit: Bytes forwarded upstream on each connection; what
-            follows is dropped. None for all.
+        silent: Directions in which bytes are held back. They are delivered
+            after the direction is removed, as TCP would retransmit them.
+        swallow_answers: Whether bytes that the upstream sends are dropped.
+        request_limit: Bytes forwarded upstream on each connection; later
+            ones are dropped. None for no limit.
         answer_limit: The same for bytes that the upstream sends.
-        held_content: Requests that contain this are held back, and go on
-            when it is changed; None for none.
-        held: Requests held back now.
-        held_answer_to: Answers are held back on connections on which a
-            request contained this, until it is changed; None for none.
-        trickle_bytes_s: Rate in each direction; 0 for no limit.
-        connections: Connections taken so far.
-        delivered: Bytes delivered so far, by direction.
-        requests: HTTP requests that came, by their first line.
+        held_content: Requests that contain this are held back until it
+            changes; None for none.
+        held: Number of requests that are being held back.
+        held_answer_to: Responses are held back on connections on which a
+            request contained this, until it changes; None for none.
+        trickle_bytes_s: Bytes per second in each direction; 0 for no limit.
+        connections: Number of connections accepted so far.
+        delivered_bytes: Number of bytes delivered so far, by direction.
+        requests: Number of HTTP requests received, by request line.
     """
 
     def __init__(self, upstream: str) -> None:
@@ -56,10 +56,10 @@
         self.held_content: bytes | None = None
         self.held = 0
         self.held_answer_to: bytes | None = None
-        self.muted: set[asyncio.StreamReader] = set()
+        self.held_response_streams: set[asyncio.StreamReader] = set()
         self.trickle_bytes_s = 0
         self.connections = 0
-        self.delivered = dict.fromkeys(Direction, 0)
+        self.delivered_bytes = dict.fromkeys(Direction, 0)
         self.requests: collections.Counter[str] = collections.Counter()
         self.port = 0
         self.server: asyncio.Server | None = None
@@ -79,7 +79,7 @@
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
     async def accept(self) -> None:
-        """Takes new connections, again on the same port."""
+        """Accepts connections; after ``refuse``, on the same port."""
         if self.server is not None:
             return
         self.server = await asyncio.start_server(
@@ -89,18 +89,18 @@
         self.address = f"127.0.0.1:{self.port}"
 
     async def refuse(self) -> None:
-        """Refuses new connections; present ones stay."""
+        """Refuses new connections; existing ones stay open."""
         if self.server is not None:
             self.server.close()
             self.server = None
 
     def cut(self) -> None:
-        """Resets (RST) all present connections on both sides."""
+        """Resets (RST) all existing connections on both sides."""
         for writer in list(self.writers):
             reset(writer)
 
     def heal(self) -> None:
-        """Turns off every switch but ``refuse``."""
+        """Clears all faults except ``refuse``."""
         self.delay_s = 0.0
         self.silent.clear()
         self.swallow_answers = False
@@ -113,7 +113,7 @@
     async def serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Forwards one connection until both directions ended."""
+        """Forwards one connection until both directions are closed."""
         self.connections += 1
         task = asyncio.current_task()
         assert task is not None
@@ -131,7 +131,7 @@
     async def forward(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Connects upstream and pumps both directions."""
+        """Connects to the upstream and forwards both directions."""
         host, _, port = self.upstream.rpartition(":")
         up_reader, up_writer = await asyncio.open_connection(host, int(port))
         self.writers.add(up_writer)
@@ -141,7 +141,7 @@
                 self.pump(up_reader, writer, Direction.DOWN, up_reader),
             )
         finally:
-            self.muted.discard(up_reader)
+            self.held_response_streams.discard(up_reader)
             self.writers.discard(up_writer)
             up_writer.close()
 
@@ -150,42 +150,42 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         direction: Direction,
-        answers: asyncio.StreamReader,
+        upstream_reader: asyncio.StreamReader,
     ) -> None:
-        """Forwards one direction until its end, then passes the end on."""
+        """Forwards one direction until EOF, then forwards the EOF."""
         forwarded = 0
         while chunk := await reader.read(self.chunk_bytes()):
-            await self.hold(direction, len(chunk))
+            await self.delay_chunk(direction, len(chunk))
             if direction is Direction.UP:
                 self.count_request(chunk)
-                self.mute(chunk, answers)
-                await self.hold_content(chunk)
+                self.mark_held_response(chunk, upstream_reader)
+                await self.hold_request(chunk)
             else:
-                await self.hold_answer(answers)
-            kept = self.kept(chunk, direction, forwarded)
-            forwarded += len(kept)
-            self.delivered[direction] += len(kept)
-            writer.write(kept)
+                await self.hold_response(upstream_reader)
+            deliverable = self.truncate(chunk, direction, forwarded)
+            forwarded += len(deliverable)
+            self.delivered_bytes[direction] += len(deliverable)
+            writer.write(deliverable)
             await writer.drain()
-        await self.hold(direction, 0)
+        await self.delay_chunk(direction, 0)
         if writer.can_write_eof() and not writer.is_closing():
             with contextlib.suppress(OSError):
                 writer.write_eof()
 
     def count_request(self, chunk: bytes) -> None:
-        """Counts a chunk that begins a request."""
+        """Counts a chunk if it starts with a request line."""
         line, _, _ = chunk.partition(b"\r\n")
         if line.endswith(b" HTTP/1.1"):
             self.requests[line.decode(errors="replace")] += 1
 
     def chunk_bytes(self) -> int:
-        """Returns how many bytes to forward at once."""
+        """Returns the maximum number of bytes to forward at once."""
         if not self.trickle_bytes_s:
             return CHUNK_BYTES
         return max(1, self.trickle_bytes_s // 20)
 
-    async def hold(self, direction: Direction, size: int) -> None:
-        """Waits as delay, trickle and silence demand."""
+    async def delay_chunk(self, direction: Direction, size: int) -> None:
+        """Applies the delay, the rate limit and blocked directions."""
         if self.delay_s:
             await asyncio.sleep(self.delay_s)
         if self.trickle_bytes_s:
@@ -193,43 +193,52 @@
         while direction in self.silent:
             await asyncio.sleep(POLL_S)
 
-    async def hold_content(self, chunk: bytes) -> None:
-        """Waits while what comes is to be held back."""
+    async def hold_request(self, chunk: bytes) -> None:
+        """Waits while a request is to be held back."""
         self.held += 1
         while self.held_content is not None and self.held_content in chunk:
             await asyncio.sleep(POLL_S)
         self.held -= 1
 
-    def mute(self, chunk: bytes, answers: asyncio.StreamReader) -> None:
-        """Notes that the answer to a request is to be held back."""
+    def mark_held_response(
+        self, chunk: bytes, upstream_reader: asyncio.StreamReader
+    ) -> None:
+        """Marks the response to a request to be held back."""
         if self.held_answer_to is not None and self.held_answer_to in chunk:
-            self.muted.add(answers)
+            self.held_response_streams.add(upstream_reader)
 
-    async def hold_answer(self, answers: asyncio.StreamReader) -> None:
-        """Waits while an answer is to be held back."""
-        while self.held_answer_to is not None and answers in self.muted:
+    async def hold_response(
+        self, upstream_reader: asyncio.StreamReader
+    ) -> None:
+        """Waits while a response is to be held back."""
+        while (
+            self.held_answer_to is not None
+            and upstream_reader in self.held_response_streams
+        ):
             await asyncio.sleep(POLL_S)
 
-    def kept(self, chunk: bytes, direction: Direction, before: int) -> bytes:
-        """Returns what of a chunk is delivered."""
+    def truncate(
+        self, chunk: bytes, direction: Direction, forwarded: int
+    ) -> bytes:
+        """Returns the part of a chunk that is delivered."""
         limit = self.request_limit
         if direction is Direction.DOWN:
             limit = 0 if self.swallow_answers else self.answer_limit
         if limit is None:
             return chunk
-        return chunk[: max(0, limit - before)]
+        return chunk[: max(0, limit - forwarded)]
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """Closes a connection with RST in place of FIN."""
+    """Closes a connection with RST instead of FIN."""
     sock = writer.get_extra_info("socket")
     if sock is not None and sock.fileno() >= 0:
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_ZERO)
     writer.transport.abort()
 
 
 async def create_fault_proxy(upstream: str) -> FaultProxy:
-    """Creates and starts a proxy before ``host:port``."""
+    """Creates and starts a proxy in front of ``host:port``."""
     proxy = FaultProxy(upstream)
     await proxy.start()
     return proxy
--- a/tests/faults/systems.py
+++ b/tests/faults/systems.py
@@ -1,4 +1,4 @@
-"""A whole system of real processes over loopback, for tests."""
+"""A complete system of real processes over loopback, for tests."""
 
 from __future__ import annotations
 
@@ -84,13 +84,13 @@
 def expected(
     prompt: list[int], count: int, version: int = 1
 ) -> tuple[int, ...]:
-    """Returns the right tokens, computed directly."""
+    """Returns the correct tokens, computed directly."""
     return reference.complete(MODEL, version, "", LAYERS, tuple(prompt), count)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineShape:
-    """An engine to start."""
+    """Options of an engine to start."""
 
     name: str
     capacity: int
@@ -110,12 +110,12 @@
 
 
 class RealSystem:
-    """Processes by name, and ways to talk to them.
+    """The processes of a system by name, and calls to them.
 
     Attributes:
-        platform_route: Address that nodes use for the platform; a proxy's
-            if one was put between.
-        platform_routes: The same for single nodes, by name.
+        platform_route: Address at which nodes reach the platform, or that of a
+            proxy in front of it.
+        platform_routes: The same for individual nodes, by name.
     """
 
     def __init__(
@@ -165,7 +165,7 @@
         self.platform_route = self.platform.address
 
     async def start_engine(self, shape: EngineShape) -> None:
-        """Starts an engine; it registers with the platform itself."""
+        """Starts an engine, which registers itself with the platform."""
         assert self.platform is not None
         self.engines[shape.name] = await self.runner.start_standin(
             shape.name,
@@ -197,7 +197,7 @@
         )
 
     async def start_node(self, name: str, zone: str = "za") -> None:
-        """Starts a node; the others find it through the platform."""
+        """Starts a node with the nodes started earlier as its seeds."""
         path = self.folder / f"{name}.ini"
         path.write_text(
             SETTINGS.format(
@@ -225,7 +225,7 @@
         engines: tuple[EngineShape, ...] = ENGINES,
         text: str | None = None,
     ) -> None:
-        """Starts all, applies the configuration and waits until ready."""
+        """Starts everything, applies the configuration, waits until ready."""
         await self.start_platform()
         await self.start_parts(nodes=nodes, engines=engines, text=text)
 
@@ -236,7 +236,7 @@
         engines: tuple[EngineShape, ...] = ENGINES,
         text: str | None = None,
     ) -> None:
-        """Starts all but the platform, which was started before."""
+        """Starts all processes except the platform, which must be running."""
         starts: list[Awaitable[None]] = [
             self.start_engine(shape) for shape in engines
         ]
@@ -246,8 +246,8 @@
         await asyncio.gather(*starts)
         for index in range(nodes):
             await self.start_node(f"n{index + 1}", "za" if index % 2 else "zb")
-        answer = await self.apply(text or fleet_text(), 0)
-        assert answer.is_ok(), answer
+        result = await self.apply(text or fleet_text(), 0)
+        assert result.is_ok(), result
         await self.wait_ready("chat", "portal", "lookup")
 
     async def apply(
@@ -272,7 +272,7 @@
         )
 
     async def ledger(self, endpoint: str) -> list[dict[str, Any]]:
-        """Returns what really ran on an endpoint."""
+        """Returns the executions recorded by an endpoint."""
         if endpoint in self.engines:
             address, path = self.engines[endpoint].address, "/v1/ledger"
         else:
@@ -282,7 +282,7 @@
         return rows
 
     async def control(self, endpoint: str, **switches: Any) -> None:
-        """Sets test switches of a stand-in."""
+        """Sets fault switches of a stand-in."""
         if endpoint == "platform":
             assert self.platform is not None
             address, path = self.platform.address, "/v1/control"
@@ -295,7 +295,7 @@
     async def get_json(
         self, address: str, path: str, secret: str = ""
     ) -> dict[str, Any]:
-        """Gets a JSON object; empty if there is no whole answer."""
+        """Gets a JSON object; empty if there is no complete response."""
         headers = {"Authorization": f"Bearer {secret}"} if secret else {}
         try:
             response = await self.http.fetch(
@@ -307,14 +307,14 @@
         return found
 
     async def post_json(self, address: str, path: str, body: Any) -> None:
-        """Posts a JSON body; fails unless the answer is a success."""
+        """Posts a JSON body; raises unless the response is a success."""
         response = await self.http.fetch(
             f"http://{address}{path}", method="POST", body=json.dumps(body)
         )
         assert response.code in (200, 204)
 
     async def wait_ready(self, *services: str) -> None:
-        """Waits until each node knows its peers and serves these."""
+        """Waits until each node knows its peers and serves the services."""
         for node in list(self.nodes):
             await self.wait_for(
                 lambda node=node: self._is_ready(node, services),
@@ -331,22 +331,22 @@
         """Waits for a condition; returns the seconds that it took.
 
         Args:
-            condition: Looked at again and again.
-            what: Said of it when the wait is given up.
-            seconds: Longest wait.
-            seen: Returns what the last look saw; said then too.
+            condition: Polled until it holds.
+            what: Description for the error message on timeout.
+            seconds: Timeout in seconds.
+            seen: Returns the last observation, for the same message.
         """
         loop = asyncio.get_running_loop()
         started = loop.time()
         while not await condition():
             if loop.time() - started > seconds:
-                said = f"not within {seconds} s: {what} {seen()}"
-                raise AssertionError(said.rstrip())
+                message = f"not within {seconds} s: {what} {seen()}"
+                raise AssertionError(message.rstrip())
             await asyncio.sleep(processes.POLL_S)
         return loop.time() - started
 
     async def caller(self, key: str = KEY) -> http_caller.Caller:
-        """Returns a caller of an account that knows all nodes."""
+        """Returns a caller for an account; it knows all nodes."""
         if key not in self.callers:
             caller = http_caller.create_caller(
                 key, [node.address for node in self.nodes.values()]
--- a/tests/faults/test_ledgers.py
+++ b/tests/faults/test_ledgers.py
@@ -28,13 +28,13 @@
 HIGH = [run("e2", 2.0, 0, start=2, end=4), run("e2", 4.0, 2, start=2, end=4)]
 REPLAY = [run("e3", 5.0, 0, epoch=1), run("e3", 6.0, 2, epoch=1)]
 
-RIGHT = {
+VALID = {
     "two stages": LOW + HIGH,
     "a replay": [*LOW, *REPLAY, *HIGH],
     "a KV cache that moved": [LOW[0], run("e3", 3.0, 2, epoch=1), *HIGH],
 }
 
-WRONG = {
+INVALID = {
     "a position twice": [*LOW, LOW[1], *HIGH],
     "a position left out": [LOW[0], run("e1", 3.0, 3, count=1), *HIGH],
     "a layer never run": LOW,
@@ -54,12 +54,12 @@
 }
 
 
-@pytest.mark.parametrize("name", RIGHT)
-def test_right_histories_pass(name: str) -> None:
-    ledgers.check(RIGHT[name], LAYERS, POSITIONS)
+@pytest.mark.parametrize("name", VALID)
+def test_valid_histories_pass(name: str) -> None:
+    ledgers.check(VALID[name], LAYERS, POSITIONS)
 
 
-@pytest.mark.parametrize("name", WRONG)
-def test_wrong_histories_are_seen(name: str) -> None:
+@pytest.mark.parametrize("name", INVALID)
+def test_invalid_histories_are_detected(name: str) -> None:
     with pytest.raises(AssertionError):
-        ledgers.check(WRONG[name], LAYERS, POSITIONS)
+        ledgers.check(INVALID[name], LAYERS, POSITIONS)
--- a/tests/faults/test_processes.py
+++ b/tests/faults/test_processes.py
@@ -13,7 +13,7 @@
 MODULE = "tests.faults.echo"
 
 
-async def answers(address: str, wait_s: float) -> bool:
+async def echoes(address: str, wait_s: float) -> bool:
     host, _, port = address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(b"x")
@@ -26,15 +26,15 @@
         writer.close()
 
 
-def test_frozen_process_answers_after_thawing(tmp_path: pathlib.Path) -> None:
+def test_frozen_process_responds_after_thawing(tmp_path: pathlib.Path) -> None:
     async def scenario() -> None:
         with processes.running(tmp_path) as runner:
             process = await runner.start("one", MODULE)
-            assert await answers(process.address, 5.0)
+            assert await echoes(process.address, 5.0)
             process.freeze()
-            assert not await answers(process.address, 0.2)
+            assert not await echoes(process.address, 0.2)
             process.thaw()
-            assert await answers(process.address, 5.0)
+            assert await echoes(process.address, 5.0)
 
     asyncio.run(scenario())
 
@@ -53,7 +53,7 @@
     assert [process.is_running() for process in started] == [False, False]
 
 
-def test_early_end_is_reported_with_the_log(tmp_path: pathlib.Path) -> None:
+def test_early_exit_is_reported_with_the_log(tmp_path: pathlib.Path) -> None:
     async def scenario() -> None:
         with processes.running(tmp_path) as runner:
             await runner.start("one", MODULE, "--no-such-option")
--- a/tests/faults/test_proxy.py
+++ b/tests/faults/test_proxy.py
@@ -36,9 +36,7 @@
     return await asyncio.open_connection(host, int(port))
 
 
-async def exchanged(
-    proxy: fault_proxy.FaultProxy, wait_s: float = 0.3
-) -> bytes:
+async def exchange(proxy: fault_proxy.FaultProxy, wait_s: float = 0.3) -> bytes:
     reader, writer = await connect(proxy)
     writer.write(REQUEST)
     answer = b""
@@ -105,11 +103,11 @@
     async def scenario() -> None:
         async with proxied_echo() as proxy:
             switch(proxy)
-            assert await exchanged(proxy) == answer
-            up = proxy.delivered[fault_proxy.Direction.UP]
+            assert await exchange(proxy) == answer
+            up = proxy.delivered_bytes[fault_proxy.Direction.UP]
             assert up == delivered_up
             proxy.heal()
-            assert await exchanged(proxy) == REQUEST
+            assert await exchange(proxy) == REQUEST
 
     asyncio.run(scenario())
 
@@ -123,7 +121,7 @@
             proxy.cut()
             with pytest.raises(ConnectionResetError):
                 await reader.read(1)
-            assert await exchanged(proxy) == REQUEST
+            assert await exchange(proxy) == REQUEST
 
     asyncio.run(scenario())
 
@@ -135,7 +133,7 @@
             with pytest.raises(ConnectionRefusedError):
                 await connect(proxy)
             await proxy.accept()
-            assert await exchanged(proxy) == REQUEST
+            assert await exchange(proxy) == REQUEST
 
     asyncio.run(scenario())
 
@@ -147,7 +145,7 @@
             proxy.delay_s = delay_s
             proxy.trickle_bytes_s = trickle
             started = time.monotonic()
-            assert await exchanged(proxy, wait_s=5.0) == REQUEST
+            assert await exchange(proxy, wait_s=5.0) == REQUEST
             assert time.monotonic() - started >= 0.1
 
     asyncio.run(scenario())
--- a/tests/standins/rigs.py
+++ b/tests/standins/rigs.py
@@ -1,4 +1,4 @@
-"""An engine stand-in and a connection to it, for tests."""
+"""An engine stand-in and a client connected to it, for tests."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @dataclasses.dataclass(slots=True)
 class EngineRig:
-    """A started engine with ``client`` connected to it."""
+    """A running engine and a client connected to it."""
 
     engine: engine_server.EngineServer
     client: http_engine.HttpEngine
@@ -51,7 +51,7 @@
 
     async def ready_versions(self) -> list[int]:
         report = (await self.client.load()).ok
-        return [held.version for held in report.holdings if held.ready]
+        return [holding.version for holding in report.holdings if holding.ready]
 
     async def step(self, *items: steps.StepItem) -> list[steps.StepResult]:
         return (await self.client.step(items, STEP_TIMEOUT_S)).ok
@@ -88,7 +88,7 @@
 
 @contextlib.asynccontextmanager
 async def run_engine(**changes: Any) -> AsyncIterator[EngineRig]:
-    """Starts an engine that takes no time for a model of four layers."""
+    """Runs an engine with a model of four layers and no emulated run time."""
     settings = engine_settings.EngineSettings(
         name="e1", models={"m": 4}, fixed_s=0.0, per_layer_token_s=0.0
     )
--- a/tests/standins/test_engine_batches.py
+++ b/tests/standins/test_engine_batches.py
@@ -43,12 +43,12 @@
     ) as rig:
         await rig.serve()
         items = [rigs.make_item(session=name) for name in "abcd"]
-        waiting = [rig.engine.batcher.submit(item) for item in items]
-        begun_at = rig.engine.batcher.queue[0].arrived_at
-        await asyncio.gather(*waiting)
-        seconds = rig.engine.batcher.busy_until - begun_at
+        futures = [rig.engine.batcher.submit(item) for item in items]
+        started_at = rig.engine.batcher.queue[0].arrived_at
+        await asyncio.gather(*futures)
+        elapsed_s = rig.engine.batcher.busy_until - started_at
 
-    assert seconds == pytest.approx(expected_s, abs=0.005)
+    assert elapsed_s == pytest.approx(expected_s, abs=0.005)
 
 
 @pytest.mark.parametrize(
@@ -69,14 +69,14 @@
     async with rigs.run_engine() as rig:
         await rig.serve()
         await rig.step(rigs.make_item(tuple(range(3 * BLOCK)), session="a"))
-        work = 0
+        layer_tokens = 0
         for position in range(0, len(second), size):
             inputs = second[position : position + size]
             item = rigs.make_item(inputs, position, "b")
             rig.engine.runner.admit(item)
-            work += rig.engine.runner.run(item).layer_tokens
+            layer_tokens += rig.engine.runner.run(item).layer_tokens
 
-    assert len(second) - work // 4 == saved
+    assert len(second) - layer_tokens // 4 == saved
 
 
 @asynchronous.run
@@ -88,31 +88,37 @@
         await rig.serve()
         await rig.step(rigs.make_item(tuple(range(2 * BLOCK))))
         events = (await rig.client.cache_events(0)).ok
-        seen = [(event.sequence, event.prefix, event.added) for event in events]
-
-        assert seen == [(1, first, True), (2, first, False), (3, second, True)]
+        received = [
+            (event.sequence, event.prefix, event.added) for event in events
+        ]
+
+        assert received == [
+            (1, first, True),
+            (2, first, False),
+            (3, second, True),
+        ]
         assert (await rig.client.cache_events(3)).ok == []
 
 
-def test_cache_events_are_late_and_have_gaps() -> None:
-    late = cache_events.CacheEventLog(1000.0, 0.0, random.Random(1))
+def test_cache_events_are_delayed_and_have_gaps() -> None:
+    delayed = cache_events.CacheEventLog(1000.0, 0.0, random.Random(1))
     lossy = cache_events.CacheEventLog(0.0, 0.5, random.Random(1))
     for prefix in range(100):
-        late.add(prefix, True)
+        delayed.add(prefix, True)
         lossy.add(prefix, True)
 
     sequences = [event.sequence for event in lossy.published(0)]
 
-    assert late.published(0) == []
+    assert delayed.published(0) == []
     assert 20 < len(sequences) < 80
     assert sequences == sorted(sequences)
 
 
 @asynchronous.run
-async def test_transfers_on_a_link_follow_one_another() -> None:
+async def test_transfers_on_a_link_are_serialized() -> None:
     link = links.Link(0.01, 1000.0)
     loop = asyncio.get_running_loop()
-    begun_at = loop.time()
+    started_at = loop.time()
     await asyncio.gather(*(link.transfer(50) for _ in range(3)))
 
-    assert loop.time() - begun_at >= 0.159
+    assert loop.time() - started_at >= 0.159
--- a/tests/standins/test_engine_orders.py
+++ b/tests/standins/test_engine_orders.py
@@ -62,7 +62,7 @@
 
 
 @asynchronous.run
-async def test_old_version_goes_on_beside_the_new_one_while_it_fits() -> None:
+async def test_old_version_is_kept_next_to_the_new_one_while_it_fits() -> None:
     async with rigs.run_engine(layer_capacity=8) as rig:
         await rig.serve()
         await rig.step(rigs.make_item((1,)))
@@ -81,11 +81,11 @@
 
 @asynchronous.run
 async def test_old_version_is_drained_first_when_both_do_not_fit() -> None:
-    """A running request ends whole before its weights go.
+    """A running request completes before its weights are unloaded.
 
-    The engine has room for one version. The order for the next one comes
-    while a session runs. New sessions are refused, the running one is not,
-    and the new version is loaded when it has ended.
+    The engine has room for one version and is ordered to load the next one
+    while a session runs. It refuses new sessions, continues the running one
+    and loads the new version after that one has ended.
     """
     async with rigs.run_engine(layer_capacity=4) as rig:
         await rig.serve()
@@ -101,7 +101,7 @@
 
 
 @asynchronous.run
-async def test_forgotten_session_does_not_hold_back_an_order() -> None:
+async def test_abandoned_session_does_not_block_an_order() -> None:
     async with rigs.run_engine(layer_capacity=4, drain_s=0.05) as rig:
         await rig.serve()
         await rig.step(rigs.make_item((1,)))
--- a/tests/standins/test_engine_steps.py
+++ b/tests/standins/test_engine_steps.py
@@ -36,8 +36,8 @@
             position = len(tokens)
             tokens.append(last.outputs[-1])
 
-    right = reference.complete("m", 1, "", 4, PROMPT, 20)
-    assert tuple(tokens[len(PROMPT) :]) == right
+    expected = reference.complete("m", 1, "", 4, PROMPT, 20)
+    assert tuple(tokens[len(PROMPT) :]) == expected
 
 
 @pytest.mark.parametrize(
@@ -59,7 +59,7 @@
 async def test_status_and_ledger_agree(
     item: steps.StepItem, status: str
 ) -> None:
-    """What was refused did not run; the ledger says so."""
+    """A refused item does not run, according to the ledger."""
     async with rigs.run_engine() as rig:
         await rig.serve()
         await rig.step(rigs.make_item(PROMPT))
@@ -85,13 +85,13 @@
 
 
 @pytest.mark.parametrize(
-    ("idle_s", "status", "held"),
+    ("idle_s", "status", "kept_sessions"),
     [(1000.0, "busy", ["a", "b"]), (0.0, "ok", ["b", "c"])],
     ids=["in use", "least recently used goes"],
 )
 @asynchronous.run
 async def test_full_session_memory(
-    idle_s: float, status: str, held: list[str]
+    idle_s: float, status: str, kept_sessions: list[str]
 ) -> None:
     async with rigs.run_engine(max_sessions=2, session_idle_s=idle_s) as rig:
         await rig.serve()
@@ -99,7 +99,7 @@
         await rig.step(rigs.make_item(session="b"))
 
         assert await rig.statuses(rigs.make_item(session="c")) == [status]
-        assert list(rig.engine.table.sessions) == held
+        assert list(rig.engine.table.sessions) == kept_sessions
 
 
 @asynchronous.run
@@ -129,10 +129,10 @@
 async def test_leaving_or_draining_engine_serves_running_sessions_only(
     is_vm_leaving: bool, status: str
 ) -> None:
-    """A draining engine must not be taken for one whose VM is going away.
+    """A draining engine must not report that its VM is leaving.
 
-    It would be left out of all later plans, and its model's new version
-    would never be loaded.
+    Otherwise all later plans would exclude it, and the new version of its
+    model would never be loaded.
     """
     async with rigs.run_engine() as rig:
         await rig.serve()
@@ -147,13 +147,13 @@
         assert (await rig.client.load()).ok.leaving == is_vm_leaving
 
 
-@pytest.mark.parametrize("how", ["cancel", "drop"])
+@pytest.mark.parametrize("method", ["cancel", "drop"])
 @asynchronous.run
-async def test_dropped_session_frees_memory(how: str) -> None:
+async def test_dropped_session_frees_memory(method: str) -> None:
     async with rigs.run_engine(max_sessions=1) as rig:
         await rig.serve()
         await rig.step(rigs.make_item(PROMPT))
-        if how == "cancel":
+        if method == "cancel":
             await rig.client.cancel(["s", "unknown"])
         else:
             await rig.control(drop_kv=True)
@@ -181,17 +181,17 @@
     ],
 )
 @asynchronous.run
-async def test_failed_step_says_what_is_known_of_the_run(
+async def test_error_tells_whether_the_step_ran(
     switches: dict[str, Any],
     error: type[errors.AlmondshiftError],
     ran: list[int],
     again: str,
 ) -> None:
-    """The caller learns the truth about whether the step ran.
+    """The error tells whether the step may have run.
 
-    The engine runs the step and closes the connection, or never answers, as
-    it would if it died; or it refuses before running. A repeat of a step
-    that did run is refused, since its session has moved on.
+    The engine runs the step and closes the connection or never responds, as
+    after a crash; or it refuses the step before running it. A retry of a step
+    that ran is refused because its session is at a later position.
     """
     async with rigs.run_engine() as rig:
         await rig.serve()
--- a/tests/standins/test_plain.py
+++ b/tests/standins/test_plain.py
@@ -80,21 +80,21 @@
 )
 @pytest.mark.parametrize("repeatable", [False, True])
 @asynchronous.run
-async def test_failure_says_what_is_known_of_the_run(
+async def test_error_tells_whether_the_call_ran(
     switches: dict[str, Any],
     error: type[errors.AlmondshiftError],
     runs: int,
     repeatable: bool,
 ) -> None:
-    """The caller learns the truth about whether the call ran.
+    """The error tells whether the call may have run.
 
-    A call over a kept or a new connection meets a fault. What the ledger
-    shows afterwards has to fit the error: none ran after a refusal, and one
-    at most after an answer that was lost.
+    A call over a pooled or new connection fails. The ledger must match the
+    error: no execution after a refusal, and at most one after a lost
+    response.
     """
     async with run_plain() as (server, service):
-        warm = make_call("GET", repeatable=True)
-        assert (await service.call(server.address, warm)).is_ok()
+        first_call = make_call("GET", repeatable=True)
+        assert (await service.call(server.address, first_call)).is_ok()
         await control(server, **switches)
         server.leaving = not switches
         call = make_call(repeatable=repeatable, timeout_s=0.5)
@@ -107,15 +107,15 @@
 @pytest.mark.parametrize(("switch", "runs"), [("crash", 0), ("crash_after", 1)])
 @asynchronous.run
 async def test_crash_before_and_after_running(switch: str, runs: int) -> None:
-    recorded: list[int] = []
+    totals: list[int] = []
     async with run_plain() as (server, service):
 
         def exit_process(_: int) -> None:
-            recorded.append(server.record.total)
+            totals.append(server.record.total)
             raise SystemError
 
         server.settings.exit_process = exit_process
         await control(server, **{switch: True})
         await service.call(server.address, make_call())
 
-    assert recorded == [runs]
+    assert totals == [runs]
--- a/tests/standins/test_platform.py
+++ b/tests/standins/test_platform.py
@@ -96,19 +96,19 @@
     run(settings_module.PlatformSettings(vm_lag_s=0.0), case)
 
 
-def test_weights_are_handed_out_at_the_rate() -> None:
+def test_weights_are_served_at_the_rate() -> None:
     async def case() -> None:
         clock = clocks.VirtualClock()
         limiter = weights.WeightsRateLimiter(
             clock, layers_per_s=10.0, max_wait_s=0.5
         )
-        turns = [asyncio.create_task(limiter.acquire()) for _ in range(7)]
+        tasks = [asyncio.create_task(limiter.acquire()) for _ in range(7)]
         await clocks.settle()
         assert limiter.is_full()
         await clock.advance(0.31)
-        assert [turn.done() for turn in turns].count(True) == 4
+        assert [task.done() for task in tasks].count(True) == 4
         await clock.advance(1.0)
-        assert all(turn.done() for turn in turns)
+        assert all(task.done() for task in tasks)
 
     asyncio.run(case())
 
@@ -150,7 +150,7 @@
     run(settings_module.PlatformSettings(), case)
 
 
-def test_port_file_is_written_whole(tmp_path: pathlib.Path) -> None:
+def test_port_file_is_written_atomically(tmp_path: pathlib.Path) -> None:
     path = tmp_path / "port"
     main.write_port_file(path, "127.0.0.1:1234")
     assert path.read_text() == "127.0.0.1:1234\n"
--- a/tests/standins/test_processes.py
+++ b/tests/standins/test_processes.py
@@ -25,11 +25,12 @@
 
 
 class FakePlatform:
-    """Takes VM rows; refuses each second call for weights.
+    """Accepts VM rows; refuses every other request for weights.
 
     Attributes:
-        rows: State of each row written, ``removed`` for a removal.
-        weights: Paths of the calls for weights.
+        rows: Kind and state of each row written; ``removed`` for a
+            deletion.
+        weights: Paths of the requests for weights.
     """
 
     def __init__(self) -> None:
@@ -74,7 +75,7 @@
 async def run_process(
     module: str, folder: pathlib.Path, *options: str
 ) -> AsyncIterator[tuple[asyncio.subprocess.Process, str]]:
-    """Runs a stand-in as a process and gives its ``host:port``."""
+    """Runs a stand-in as a process; yields it and its ``host:port``."""
     port_file = folder / "port"
     names = ("--name", "e1", "--zone", "z1", "--port-file", str(port_file))
     process = await asyncio.create_subprocess_exec(
@@ -90,14 +91,14 @@
 
 
 @asynchronous.run
-async def test_engine_serves_running_sessions_while_it_leaves(
+async def test_leaving_engine_serves_running_sessions(
     tmp_path: pathlib.Path,
 ) -> None:
-    """No running request is cut off when an engine's VM is stopped.
+    """No running request is aborted when an engine's VM is stopped.
 
-    The engine gets SIGTERM while a session runs. It says leaving in the
-    list of VMs, opens no session, goes on with the running one, and removes
-    its row and ends when that one has ended.
+    The engine gets SIGTERM while a session runs. It changes its state in the
+    VM list to leaving and refuses new sessions. When the running session has
+    ended, it removes its row and exits.
     """
     factory = http_engine.create_factory()
     async with (
--- a/tests/standins/test_reference.py
+++ b/tests/standins/test_reference.py
@@ -22,7 +22,7 @@
     return outputs
 
 
-def test_tokens_are_printable_and_repeatable() -> None:
+def test_tokens_are_printable_and_deterministic() -> None:
     first = reference.complete("m", 1, "", 4, PROMPT, 200)
 
     assert first == reference.complete("m", 1, "", 4, PROMPT, 200)
@@ -41,12 +41,12 @@
         ("m", 1, "", 4, (72, 101, 2**32, 1)),
     ],
 )
-def test_answer_depends_on(
+def test_output_depends_on(
     changed: tuple[str, int, str, int, tuple[int, ...]],
 ) -> None:
-    right = reference.complete("m", 1, "", 4, PROMPT, 20)
+    expected = reference.complete("m", 1, "", 4, PROMPT, 20)
 
-    assert right != reference.complete(*changed, 20)
+    assert expected != reference.complete(*changed, 20)
 
 
 @pytest.mark.parametrize(
@@ -57,4 +57,4 @@
 def test_wrong_layers_change_every_activation(order: list[int]) -> None:
     both = zip(run_layers([0, 1, 2, 3]), run_layers(order), strict=True)
 
-    assert all(right != wrong for right, wrong in both)
+    assert all(expected != actual for expected, actual in both)
