--- a/src/almondshift/standins/engine/prefixes.py
+++ b/src/almondshift/standins/engine/prefixes.py
@@ -18,7 +18,7 @@
     """An LRU cache of the digests of complete blocks.
 
     Attributes:
-        on_change: Called with a digest, and whether it was added or evicted.
+        on_change: Called with a digest, and True if added, False if evicted.
     """
 
     def __init__(
--- a/src/almondshift/standins/platform/faults.py
+++ b/src/almondshift/standins/platform/faults.py
@@ -36,7 +36,8 @@
     Attributes:
         groups: Groups to set; empty for all.
         down: ``refuse`` answers 503 at once; ``hang`` holds requests until
-            the next change of the switches, and then processes them.
+            the next change of the switches, after which they take effect
+            late unless they are refused.
         delay_s: Delay before each request takes effect.
         lose_next: Number of subsequent writes whose response is lost: they take
             effect, but the connection closes without a response.
--- a/src/almondshift/standins/platform/handlers.py
+++ b/src/almondshift/standins/platform/handlers.py
@@ -55,7 +55,7 @@
         self.finish(msgspec.json.encode(body))
 
     def refuse(self, status: int, kind: str, detail: str = "") -> None:
-        """Sends an error response; the request took no effect."""
+        """Sends an error response; the request had no effect."""
         self.send_json(
             platform_messages.ProblemBody(kind, False, detail), status
         )
--- a/tests/faults/processes.py
+++ b/tests/faults/processes.py
@@ -177,6 +177,6 @@
     started = time.monotonic()
     while not condition():
         if time.monotonic() - started > timeout_s:
-            raise AssertionError(f"not within {timeout_s} s: {what}")
+            raise AssertionError(f"not met within {timeout_s} s: {what}")
         await asyncio.sleep(POLL_S)
     return time.monotonic() - started
--- a/tests/faults/systems.py
+++ b/tests/faults/systems.py
@@ -197,7 +197,7 @@
         )
 
     async def start_node(self, name: str, zone: str = "za") -> None:
-        """Starts a node with the nodes started earlier as its seeds."""
+        """Starts a node; the others discover it through the platform."""
         path = self.folder / f"{name}.ini"
         path.write_text(
             SETTINGS.format(
@@ -314,7 +314,7 @@
         assert response.code in (200, 204)
 
     async def wait_ready(self, *services: str) -> None:
-        """Waits until each node knows its peers and serves the services."""
+        """Waits until each node knows its peers and serves ``services``."""
         for node in list(self.nodes):
             await self.wait_for(
                 lambda node=node: self._is_ready(node, services),
@@ -340,7 +340,7 @@
         started = loop.time()
         while not await condition():
             if loop.time() - started > seconds:
-                message = f"not within {seconds} s: {what} {seen()}"
+                message = f"not met within {seconds} s: {what} {seen()}"
                 raise AssertionError(message.rstrip())
             await asyncio.sleep(processes.POLL_S)
         return loop.time() - started
