--- a/tests/standins/test_engine_orders.py
+++ b/tests/standins/test_engine_orders.py
@@ -48,7 +48,7 @@
         loads.append(layer)
 
     async with rigs.run_engine() as rig:
-        rig.engine.held.load_layer = load
+        rig.engine.holding_table.load_layer = load
         await rig.order()
         await rig.order()
         assert await rig.ready_versions() == []
@@ -62,7 +62,7 @@
 
 
 @asynchronous.run
-async def test_old_version_goes_on_beside_the_new_one_while_it_fits() -> None:
+async def test_old_version_is_kept_next_to_the_new_one_while_it_fits() -> None:
     async with rigs.run_engine(layer_capacity=8) as rig:
         await rig.serve()
         await rig.step(rigs.make_item((1,)))
@@ -74,18 +74,18 @@
         )
 
         assert await rig.statuses(*items) == ["ok", "wrong_model", "ok"]
-        assert len(rig.engine.held.loaded) == 8
+        assert len(rig.engine.holding_table.loaded) == 8
         await rig.client.cancel(["s"])
-        assert len(rig.engine.held.loaded) == 4
+        assert len(rig.engine.holding_table.loaded) == 4
 
 
 @asynchronous.run
 async def test_old_version_is_drained_first_when_both_do_not_fit() -> None:
-    """A running request ends whole before its weights go.
+    """A running request completes before its weights are unloaded.
 
-    The engine has room for one version. The order for the next one comes
-    while a session runs. New sessions are refused, the running one is not,
-    and the new version is loaded when it has ended.
+    The engine has room for one version and is ordered to load the next one
+    while a session runs. It refuses new sessions, continues the running one
+    and loads the new version after that one has ended.
     """
     async with rigs.run_engine(layer_capacity=4) as rig:
         await rig.serve()
@@ -97,11 +97,11 @@
         assert await rig.ready_versions() == []
         await rig.client.cancel(["s"])
         await rig.serve(version=2, fencing=2)
-        assert len(rig.engine.held.loaded) == 4
+        assert len(rig.engine.holding_table.loaded) == 4
 
 
 @asynchronous.run
-async def test_forgotten_session_does_not_hold_back_an_order() -> None:
+async def test_abandoned_session_does_not_block_an_order() -> None:
     async with rigs.run_engine(layer_capacity=4, drain_s=0.05) as rig:
         await rig.serve()
         await rig.step(rigs.make_item((1,)))
@@ -119,11 +119,13 @@
             await asyncio.Event().wait()
 
     async with rigs.run_engine(layer_capacity=4) as rig:
-        rig.engine.held.load_layer = load
+        rig.engine.holding_table.load_layer = load
         await rig.order()
         await rig.serve(version=2, fencing=2)
 
-        assert [entry.version for entry in rig.engine.held.entries] == [2]
+        assert [
+            entry.version for entry in rig.engine.holding_table.entries
+        ] == [2]
 
 
 @asynchronous.run
