--- a/src/almondshift/errors.py
+++ b/src/almondshift/errors.py
@@ -1,6 +1,6 @@
-"""Typed errors: each has a kind, what is known of execution, and a remedy.
+"""Typed errors: each has a kind, a remedy and what is known about execution.
 
-Ports and coordination parts return these in ``expression.Result``; inside a
+Ports and coordination modules return these in ``expression.Result``; within a
 process they may also be raised. Callers see them as problem+json.
 """
 
@@ -25,7 +25,7 @@
         detail: What happened, in one sentence.
         remedy: What the reader can do about it.
         execution: Whether the request ran; ``NOT_RUN`` only if provable.
-        retry_after_s: Seconds after which asking again makes sense, if any.
+        retry_after_s: Seconds after which a retry makes sense, if any.
     """
 
     kind: ClassVar[str] = "internal"
@@ -49,7 +49,7 @@
 
 
 class Refusal(AlmondshiftError):
-    """The base of errors that mean that nothing ran."""
+    """The base of errors that by default mean that nothing ran."""
 
     default_execution = Execution.NOT_RUN
 
@@ -71,7 +71,7 @@
 
 
 class IdempotencyKeyReused(Refusal):
-    """An Idempotency-Key came again with another body."""
+    """An Idempotency-Key was reused with a different body."""
 
     kind = "idempotency_key_reused"
     status = 422
@@ -83,7 +83,9 @@
 
     kind = "missing_key"
     status = 401
-    default_remedy = "Send 'Authorization: Bearer KEY' of a client account."
+    default_remedy = (
+        "Send 'Authorization: Bearer KEY' with the key of a client account."
+    )
 
 
 class WrongKey(Refusal):
@@ -103,7 +105,7 @@
 
 
 class BodyTooLarge(Refusal):
-    """The request body is over the limit in bytes."""
+    """The request body exceeds the limit in bytes."""
 
     kind = "body_too_large"
     status = 413
@@ -111,7 +113,7 @@
 
 
 class PromptTooLong(Refusal):
-    """The prompt is over the service's limit in tokens."""
+    """The prompt exceeds the service's limit in tokens."""
 
     kind = "prompt_too_long"
     status = 413
@@ -136,19 +138,19 @@
 
 
 class Overloaded(Refusal):
-    """The predicted wait is past the deadline, or the queue is full."""
+    """The predicted wait exceeds the deadline, or the queue is full."""
 
     kind = "overloaded"
     status = 503
-    default_remedy = "Ask again after the time in Retry-After."
+    default_remedy = "Retry after the delay in the Retry-After header."
 
 
 class AccountLimited(Refusal):
-    """The client account is over its own limit."""
+    """The client account exceeds its own limit."""
 
     kind = "account_limited"
     status = 429
-    default_remedy = "Ask again after the time in Retry-After."
+    default_remedy = "Retry after the delay in the Retry-After header."
 
 
 class ServiceNotReady(Refusal):
@@ -156,7 +158,7 @@
 
     kind = "service_not_ready"
     status = 503
-    default_remedy = "Ask again after the time in Retry-After."
+    default_remedy = "Retry after the delay in the Retry-After header."
 
 
 class NodeLeaving(Refusal):
@@ -164,23 +166,28 @@
 
     kind = "node_leaving"
     status = 503
-    default_remedy = "Ask GET /v1/entries for another address."
+    default_remedy = "Get another address from GET /v1/entries."
 
 
 class Quarantined(Refusal):
-    """The request crashed endpoints before and is not run for now."""
+    """The request crashed endpoints before and is refused for now."""
 
     kind = "quarantined"
     status = 422
-    default_remedy = "Change the request; this one is refused until expiry."
+    default_remedy = (
+        "Change the request; this one is refused until its quarantine ends."
+    )
 
 
 class CrashesEndpoints(Refusal):
-    """Endpoints crashed while they ran the same request before."""
+    """Endpoints crashed earlier while they ran the same request."""
 
     kind = "crashes_endpoints"
     status = 503
-    default_remedy = "Change the request, or ask after the time given."
+    default_remedy = (
+        "Change the request, or retry after the delay in the Retry-After "
+        "header."
+    )
 
 
 class OutcomeUnknown(AlmondshiftError):
@@ -189,7 +196,10 @@
     kind = "outcome_unknown"
     status = 502
     default_execution = Execution.UNKNOWN
-    default_remedy = "Check the effect before sending with a new key."
+    default_remedy = (
+        "Check whether the request took effect before sending it with a new "
+        "key."
+    )
 
 
 class UpstreamFailed(AlmondshiftError):
@@ -198,11 +208,11 @@
     kind = "upstream_failed"
     status = 502
     default_execution = Execution.UNKNOWN
-    default_remedy = "Ask again; the request is idempotent."
+    default_remedy = "Send the request again; it is idempotent."
 
 
 class ConfigInvalid(Refusal):
-    """A configuration text is wrong; names the section and the key."""
+    """A configuration text is invalid; names the section and the key."""
 
     kind = "config_invalid"
     status = 422
@@ -212,8 +222,8 @@
     ) -> None:
         self.section = section
         self.key = key
-        place = f"[{section}]" if key is None else f"[{section}] {key}"
-        super().__init__(f"{place}: {detail}", remedy=remedy)
+        location = f"[{section}]" if key is None else f"[{section}] {key}"
+        super().__init__(f"{location}: {detail}", remedy=remedy)
 
 
 class ConfigConflict(Refusal):
@@ -232,11 +242,11 @@
 
     kind = "store_unavailable"
     status = 503
-    default_remedy = "Ask again after the time in Retry-After."
+    default_remedy = "Retry after the delay in the Retry-After header."
 
 
 class StoreOutcomeUnknown(AlmondshiftError):
-    """A write was sent to the store and its answer did not arrive."""
+    """A write was sent to the store but no answer arrived."""
 
     kind = "store_outcome_unknown"
     status = 502
@@ -245,11 +255,11 @@
 
 
 class ConditionFailed(Refusal):
-    """A conditional write found another revision; nothing was written."""
+    """A conditional write found a different revision; nothing was written."""
 
     kind = "condition_failed"
     status = 409
-    default_remedy = "Read the row and decide again."
+    default_remedy = "Read the row again before deciding on a new write."
 
 
 class LeaseLost(Refusal):
@@ -257,11 +267,11 @@
 
     kind = "lease_lost"
     status = 503
-    default_remedy = "Leave the action to the present holder."
+    default_remedy = "Leave the action to the current lease holder."
 
 
 class EndpointUnreachable(Refusal):
-    """No connection to the endpoint was made; no byte was sent."""
+    """No connection to the endpoint could be made; no byte was sent."""
 
     kind = "endpoint_unreachable"
     status = 502
@@ -269,7 +279,7 @@
 
 
 class EndpointRefused(Refusal):
-    """The endpoint said, before running anything, that it won't."""
+    """The endpoint refused the request before running anything."""
 
     kind = "endpoint_refused"
     status = 502
@@ -277,12 +287,12 @@
 
 
 class EndpointOutcomeUnknown(AlmondshiftError):
-    """Bytes were sent to the endpoint and no whole answer came back."""
+    """Bytes were sent to the endpoint but no complete answer came back."""
 
     kind = "endpoint_outcome_unknown"
     status = 502
     default_execution = Execution.UNKNOWN
-    default_remedy = "Abandon the session; repeat only idempotent work."
+    default_remedy = "Discard the session; retry only idempotent work."
 
 
 class PeerUnreachable(AlmondshiftError):
--- a/src/almondshift/log_events.py
+++ b/src/almondshift/log_events.py
@@ -1,8 +1,8 @@
-"""Numbered events for the log; docs/events.md tells what to do at each.
+"""Numbered log events; docs/events.md says what to do about each.
 
 The number's first digit names the subject: 1 node, 2 configuration, 3 lease
 and orders, 4 endpoints, 5 requests, 6 store, 7 peers, 8 quarantine,
-9 claims. A number is never used again for another event.
+9 claims. A number is never reused for another event.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 class Event(msgspec.Struct, frozen=True):
     """The base of events; fields become members of the JSON line.
 
-    All of them are defined in each process, and a node that starts again
-    serves nobody until they are: data classes take ten times as long to define.
+    Each process defines all of them at import, and a restarting node serves
+    nobody until then. Data classes would take ten times as long to define.
     """
 
     number: ClassVar[int]
@@ -61,7 +61,7 @@
 
 
 class NodeDraining(Event, frozen=True):
-    """The node takes leave; requests in flight go on."""
+    """The node is shutting down gracefully; requests in flight continue."""
 
     number = 1003
     message = "node draining"
@@ -72,7 +72,7 @@
 
 
 class NodeStopped(Event, frozen=True):
-    """The node has closed; ``cut`` requests got no whole answer."""
+    """The node has stopped; ``cut`` requests got no complete answer."""
 
     number = 1004
     message = "node stopped"
@@ -82,7 +82,7 @@
 
 
 class NodeReloaded(Event, frozen=True):
-    """The settings were read again; `changed` names what differs."""
+    """The settings were reloaded; ``changed`` names what differs."""
 
     number = 1005
     message = "node reloaded"
@@ -91,17 +91,17 @@
 
 
 class NodeWoke(Event, frozen=True):
-    """The process stood still; what it knew may be old."""
+    """The process was paused for a while; its state may be stale."""
 
     number = 1006
     level = logging.WARNING
-    message = "node woke"
+    message = "node resumed"
 
     seconds: float
 
 
 class LogLinesDropped(Event, frozen=True):
-    """Lines were left out to keep the log's volume bounded."""
+    """Lines were dropped because of the rate limit or a slow log reader."""
 
     number = 1007
     level = logging.WARNING
@@ -111,7 +111,7 @@
 
 
 class ConfigAccepted(Event, frozen=True):
-    """The platform keeps a new version that came through this node."""
+    """A new version submitted through this node was stored on the platform."""
 
     number = 2001
     message = "configuration accepted"
@@ -122,7 +122,7 @@
 
 
 class ConfigApplied(Event, frozen=True):
-    """This node acts on a newer version."""
+    """This node now uses a newer version."""
 
     number = 2002
     message = "configuration applied"
@@ -133,7 +133,7 @@
 
 
 class ConfigRejected(Event, frozen=True):
-    """A proposed text is invalid, or a race was lost."""
+    """A proposed text is invalid, or another change was accepted first."""
 
     number = 2003
     level = logging.WARNING
@@ -146,7 +146,7 @@
 
 
 class ConfigUnverified(Event, frozen=True):
-    """The version in force is known through peers only."""
+    """The version in force is known only from peers, not from the platform."""
 
     number = 2004
     level = logging.WARNING
@@ -168,7 +168,7 @@
 
 
 class LeaseGained(Event, frozen=True):
-    """This node may give orders."""
+    """This node holds the control lease and may send orders."""
 
     number = 3001
     message = "lease gained"
@@ -178,7 +178,7 @@
 
 
 class LeaseLost(Event, frozen=True):
-    """This node gives no more orders."""
+    """This node lost the control lease and sends no more orders."""
 
     number = 3002
     level = logging.WARNING
@@ -190,7 +190,7 @@
 
 
 class OrderSent(Event, frozen=True):
-    """An endpoint took an order."""
+    """An order was sent to an endpoint."""
 
     number = 3003
     message = "order sent"
@@ -227,7 +227,7 @@
 
 
 class EndpointSeen(Event, frozen=True):
-    """An endpoint is new, or came back as a new instance."""
+    """An endpoint is new, or restarted as a new instance."""
 
     number = 4001
     message = "endpoint seen"
@@ -238,7 +238,7 @@
 
 
 class EndpointLeaving(Event, frozen=True):
-    """An endpoint gets no new work."""
+    """An endpoint is shutting down and gets no new work."""
 
     number = 4002
     message = "endpoint leaving"
@@ -248,7 +248,7 @@
 
 
 class EndpointGone(Event, frozen=True):
-    """An endpoint left the list, or does not answer any more."""
+    """An endpoint was removed from the list, or stopped answering."""
 
     number = 4003
     level = logging.WARNING
@@ -259,7 +259,7 @@
 
 
 class EndpointEjected(Event, frozen=True):
-    """An endpoint gets no work for a time, for errors or slowness."""
+    """An endpoint gets no work for a while because of errors or slowness."""
 
     number = 4004
     level = logging.WARNING
@@ -271,7 +271,7 @@
 
 
 class EndpointRestored(Event, frozen=True):
-    """An ejected endpoint answered trials and gets work again."""
+    """An ejected endpoint answered probes and gets work again."""
 
     number = 4005
     message = "endpoint restored"
@@ -281,7 +281,7 @@
 
 
 class EndpointUnreadable(Event, frozen=True):
-    """An endpoint's entry can't be read; it gets no work until it can."""
+    """An endpoint's entry can't be decoded; it gets no work until it can."""
 
     number = 4006
     level = logging.ERROR
@@ -292,10 +292,10 @@
 
 
 class EndpointRowLate(Event, frozen=True):
-    """An entry of an earlier start of an endpoint came late; it is dropped."""
+    """A late entry from an earlier start of an endpoint is ignored."""
 
     number = 4007
-    message = "endpoint row late"
+    message = "stale endpoint entry"
 
     endpoint: str
     born_ms: int
@@ -303,7 +303,7 @@
 
 
 class EndpointRestarted(Event, frozen=True):
-    """An endpoint started again under its name; it knows nothing of before."""
+    """An endpoint restarted under the same name and lost its state."""
 
     number = 4008
     level = logging.WARNING
@@ -314,11 +314,11 @@
 
 
 class EndpointStartFalse(Event, frozen=True):
-    """A start of an endpoint stood and was false; another one is written."""
+    """The accepted start time of an endpoint was wrong and is replaced."""
 
     number = 4009
     level = logging.WARNING
-    message = "endpoint start false"
+    message = "endpoint start corrected"
 
     endpoint: str
     born_ms: int
@@ -326,10 +326,10 @@
 
 
 class EndpointDoubted(Event, frozen=True):
-    """A peer found an endpoint dead, and this node asked it."""
+    """A peer reported an endpoint as lost, and this node checked it itself."""
 
     number = 4010
-    message = "endpoint doubted"
+    message = "endpoint rechecked"
 
     endpoint: str
     peer: str
@@ -338,7 +338,7 @@
 
 
 class RegistryRead(Event, frozen=True):
-    """Many endpoints became known at once."""
+    """Many endpoints were discovered at once."""
 
     number = 4011
     message = "registry read"
@@ -360,7 +360,7 @@
 
 
 class RequestAnswered(Event, frozen=True):
-    """A request got its whole answer."""
+    """A request got its complete answer."""
 
     number = 5002
     message = "request answered"
@@ -374,7 +374,7 @@
 
 
 class RequestRefused(Event, frozen=True):
-    """A request got a final answer without being run whole."""
+    """A request ended with an error response before it ran to completion."""
 
     number = 5003
     message = "request refused"
@@ -388,7 +388,7 @@
 
 
 class RequestRecovered(Event, frozen=True):
-    """A running request went on with other endpoints."""
+    """A running request continued on other endpoints."""
 
     number = 5004
     message = "request recovered"
@@ -401,7 +401,7 @@
 
 
 class RequestAbandoned(Event, frozen=True):
-    """The caller went away, or the node gave up after tokens were sent."""
+    """The caller disconnected, or the node gave up after sending tokens."""
 
     number = 5005
     message = "request abandoned"
@@ -414,7 +414,7 @@
 
 
 class EchoMismatch(Event, frozen=True):
-    """An answer named another step than the one asked; it was dropped."""
+    """An answer identified a step other than the one sent; it was dropped."""
 
     number = 5006
     level = logging.ERROR
@@ -427,18 +427,18 @@
 
 
 class RequestFault(Event, frozen=True):
-    """A fault in this program ended a request."""
+    """An unexpected exception in this program ended a request."""
 
     number = 5007
     level = logging.ERROR
-    message = "request fault"
+    message = "internal error in request"
 
     request_id: str
     error: str
 
 
 class RequestForwarded(Event, frozen=True):
-    """A request was sent to an endpoint, along a path if there is one."""
+    """A request was sent to an endpoint or to the first engine of a path."""
 
     number = 5008
     message = "request forwarded"
@@ -454,7 +454,7 @@
 
 
 class AttemptFailed(Event, frozen=True):
-    """An endpoint did not answer a request whole."""
+    """An endpoint did not answer a request completely."""
 
     number = 5009
     message = "attempt failed"
@@ -468,7 +468,7 @@
 
 
 class RequestMoved(Event, frozen=True):
-    """A running request was moved to other engines, or that failed."""
+    """A running request was moved to other engines, or the move failed."""
 
     number = 5010
     message = "request moved"
@@ -482,11 +482,12 @@
 
 
 class RequestWhileDraining(Event, frozen=True):
-    """A caller came to a node that takes leave.
+    """A request arrived while the node was draining.
 
-    `connection_s` over `draining_s` tells a connection that was open before;
-    else the caller had an address that the node's peers give out no longer,
-    or, see AS7006, that one of them gave out before it had heard.
+    If ``connection_s`` is over ``draining_s``, the connection was open before
+    the drain began. Otherwise the caller used an address that peers no longer
+    give out or, see AS7006, that a peer gave out before it learned of the
+    drain.
     """
 
     number = 5011
@@ -499,11 +500,11 @@
 
 
 class AnswerCut(Event, frozen=True):
-    """The end of a stop ended a request that had no whole answer."""
+    """The shutdown aborted a request that had no complete answer yet."""
 
     number = 5012
     level = logging.WARNING
-    message = "answer cut"
+    message = "answer aborted"
 
     request_id: str
     service: str
@@ -534,7 +535,7 @@
 
 
 class PeerJoined(Event, frozen=True):
-    """A node was heard of for the first time."""
+    """A node became known for the first time."""
 
     number = 7001
     message = "peer joined"
@@ -545,7 +546,7 @@
 
 
 class PeerSuspect(Event, frozen=True):
-    """A node has not been heard of for a time."""
+    """Nothing has been heard from a node for a while."""
 
     number = 7002
     level = logging.WARNING
@@ -556,7 +557,7 @@
 
 
 class PeerGone(Event, frozen=True):
-    """A node left, or is taken for gone."""
+    """A node left, or is presumed dead."""
 
     number = 7003
     level = logging.WARNING
@@ -567,7 +568,7 @@
 
 
 class PeerRowsUnreadable(Event, frozen=True):
-    """A peer's answer about rows of the store can't be read; it is dropped."""
+    """A peer's answer with store rows can't be decoded; it is dropped."""
 
     number = 7004
     level = logging.WARNING
@@ -587,7 +588,7 @@
 
 
 class PeerLeaving(Event, frozen=True):
-    """A node told that it takes leave; callers are not sent there any more."""
+    """A node announced its shutdown; callers are no longer sent there."""
 
     number = 7006
     message = "peer leaving"
@@ -596,7 +597,7 @@
 
 
 class QuarantineSuspect(Event, frozen=True):
-    """A request was in flight where an endpoint crashed."""
+    """A request was in flight on an endpoint that crashed."""
 
     number = 8001
     level = logging.WARNING
@@ -608,11 +609,11 @@
 
 
 class QuarantineConvicted(Event, frozen=True):
-    """A request crashed a second endpoint and is refused for a time."""
+    """A request crashed too many endpoints and is refused for a while."""
 
     number = 8002
     level = logging.ERROR
-    message = "quarantine convicted"
+    message = "request quarantined"
 
     request_id: str
     fingerprint: str
@@ -629,7 +630,7 @@
 
 
 class ClaimTaken(Event, frozen=True):
-    """A non-idempotent request may be dispatched by this node, once."""
+    """This node may dispatch a non-idempotent request, once."""
 
     number = 9001
     level = logging.DEBUG
@@ -641,7 +642,7 @@
 
 
 class ClaimRepeated(Event, frozen=True):
-    """A non-idempotent request came again and was not run again."""
+    """A repeated non-idempotent request was not run again."""
 
     number = 9002
     message = "claim repeated"
--- a/tests/test_log_events.py
+++ b/tests/test_log_events.py
@@ -19,7 +19,7 @@
 }  # fmt: skip
 
 
-def test_the_page_lists_every_event_and_no_other() -> None:
+def test_page_lists_exactly_the_existing_events() -> None:
     rows = {row[0]: row[1:] for row in ROW.findall(PAGE.read_text())}
     events = {event.code(): event for event in log_events.catalogue()}
     assert list(rows) == list(events)
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize("event", log_events.catalogue())
-def test_fields_hide_nothing_of_the_line(
+def test_fields_do_not_shadow_members_of_the_line(
     event: type[log_events.Event],
 ) -> None:
     names = set(event.__struct_fields__)
