--- a/src/almondshift/model/completions.py
+++ b/src/almondshift/model/completions.py
@@ -34,7 +34,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StageTiming:
-    """Where the time of a completion went, for one stage."""
+    """Time that a completion spent in one stage."""
 
     endpoint: str
     start: int
@@ -46,7 +46,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Recovery:
-    """One recovery: seconds from the failure seen to the next token."""
+    """One recovery; ``seconds`` counts from the failure to the next token."""
 
     endpoint: str
     replacement: tuple[str, ...]
@@ -57,7 +57,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CompletionSummary:
-    """What the last event of a stream carries, beside the tokens."""
+    """What the last event of a stream reports about the completion."""
 
     request_id: str
     tokens: int
--- a/src/almondshift/model/endpoints.py
+++ b/src/almondshift/model/endpoints.py
@@ -11,7 +11,7 @@
 
 
 class VmState(enum.StrEnum):
-    """State of a VM in the platform's list, which lags."""
+    """State of a VM in the platform's list, which may be stale."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -42,7 +42,7 @@
         zone: Availability zone.
         kind: What it runs.
         service: For plain services, the service's name, else ``""``.
-        state: Whether it is leaving.
+        state: Whether it is being shut down.
     """
 
     name: str
@@ -55,7 +55,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Holding:
-    """What an engine has loaded, or is loading, as it says itself."""
+    """Layers that an engine reports as loaded or, unless ``ready``, loading."""
 
     model: str
     version: int
@@ -66,16 +66,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndpointDescription:
-    """What an engine says of itself; constant while it runs.
+    """An engine's description of itself; constant while it runs.
 
     Attributes:
         instance: Random id, new at each start of the engine.
         accelerator: Kind of accelerator.
         layer_capacity: Layers that fit in its memory.
-        fixed_s: Time of one batch beside what its items cost.
+        fixed_s: Fixed time of one batch, without that of its items.
         per_layer_token_s: Time of one token through one layer.
-        max_batch: Items in a batch.
-        max_sessions: Sessions its KV memory holds.
+        max_batch: Maximum number of items in a batch.
+        max_sessions: Maximum number of sessions in its KV cache.
     """
 
     name: str
@@ -90,7 +90,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadReport:
-    """An engine's own report, ``age_s`` old when it was received."""
+    """An engine's report on its load, ``age_s`` old when it was received."""
 
     endpoint: str
     instance: str
@@ -108,7 +108,7 @@
     """A change of an engine's prefix cache.
 
     Attributes:
-        sequence: Grows by one; a gap means that events were lost.
+        sequence: Increases by one; a gap means that events were lost.
         prefix: xxh64 digest of the cached prefix.
         added: True if cached, false if evicted.
     """
--- a/src/almondshift/model/engine_specs.py
+++ b/src/almondshift/model/engine_specs.py
@@ -11,14 +11,14 @@
 
     Attributes:
         memory_mb: Memory for weights and requests.
-        step_factor: Time of a generation step relative to the published.
-        read_factor: Time of reading a prompt relative to the published.
+        step_factor: Time of a decode step relative to the published figure.
+        prefill_factor: Time of prefill relative to the published figure.
     """
 
     name: str
     memory_mb: float
     step_factor: float
-    read_factor: float
+    prefill_factor: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -26,18 +26,18 @@
     """Published figures of the engines of a service.
 
     Attributes:
-        layers: Layers of the model.
-        layer_mb: Weights of one layer.
-        token_bytes: Memory of one token over all layers.
+        layers: Number of layers of the model.
+        layer_mb: Size of the weights of one layer.
+        token_bytes: KV cache memory of one token over all layers.
         load_s: Time to load all layers.
-        step_ms: A generation step over all layers without requests.
-        step_ms_per_request: Added by each request that generates.
+        step_ms: Time of a decode step over all layers without requests.
+        step_ms_per_request: Added by each request that is generating.
         step_ms_per_kilotoken: Added by each 1,000 tokens of context.
-        read_tokens_per_s: Speed of reading prompts.
-        usual_prompt: Mean prompt in tokens.
-        usual_answer: Mean answer in tokens.
-        slots: Requests that an engine takes at once as the first of a path.
-        kinds: By name.
+        read_tokens_per_s: Prefill speed.
+        usual_prompt: Mean length of a prompt in tokens.
+        usual_answer: Mean length of an answer in tokens.
+        slots: Concurrent requests of an engine that is first in their path.
+        kinds: Kinds of accelerators by name.
     """
 
     layers: int
@@ -58,7 +58,7 @@
 
         Args:
             kind: The engine's kind of accelerator.
-            held: Layers whose weights it holds.
+            held: Number of layers whose weights it holds.
         """
         accelerator = self.kinds.get(kind)
         if accelerator is None or self.token_bytes <= 0:
--- a/src/almondshift/model/fleet.py
+++ b/src/almondshift/model/fleet.py
@@ -35,9 +35,9 @@
     """Service-level objectives.
 
     Attributes:
-        whole_share: Share of requests answered whole, 0 to 1.
-        first_token_s: Seconds to the first token, for 95 in 100.
-        between_tokens_s: Seconds between tokens, for 95 in 100.
+        whole_share: Share of requests answered completely, 0 to 1.
+        first_token_s: 95th percentile of the seconds to the first token.
+        between_tokens_s: 95th percentile of the seconds between tokens.
     """
 
     whole_share: float = 0.99
@@ -47,13 +47,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Model:
-    """A model: its size, and the version that should serve.
+    """A model: its size, and the version to serve.
 
     Attributes:
         layers: Number of layers.
-        version: Version that should be in force.
+        version: Version to serve.
         adapters: Names of adapters that may be loaded.
-        layer_bytes: Bytes of weights of one layer.
+        layer_bytes: Size of the weights of one layer.
     """
 
     name: str
@@ -65,13 +65,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Service:
-    """A service that callers name.
+    """A service that callers address by name.
 
     Attributes:
         depends_on: Names of services that must be ready first.
         model: Name of the model; ``""`` for a plain service.
         idempotent: Whether a request may be repeated.
-        replicas: Whole chains wanted at least.
+        replicas: Minimum number of complete chains.
         max_prompt_tokens: Longest prompt accepted.
         max_output_tokens: Most tokens that one request may ask for.
     """
@@ -95,7 +95,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndpointRule:
-    """What operators know of endpoints whose name matches a pattern."""
+    """What operators declare about endpoints whose name matches a pattern."""
 
     pattern: str
     checks_fencing: bool = False
@@ -103,7 +103,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pin:
-    """Layers that operators fixed on endpoints whose name matches."""
+    """Layers that operators pinned to endpoints with matching names."""
 
     pattern: str
     model: str
@@ -131,8 +131,8 @@
 
     Attributes:
         key_hash: ``sha256:`` and the hex digest of its bearer key.
-        weight: Share of a full system, relative to other accounts.
-        tokens_per_s: Limit over all nodes; 0 for none.
+        weight: Share under overload, relative to other accounts.
+        tokens_per_s: Rate limit over all nodes; 0 for none.
         services: Services that it may call; empty for all.
     """
 
@@ -145,7 +145,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Fleet:
-    """A whole configuration, validated, with the version it was read as."""
+    """A complete, validated configuration with its version."""
 
     version: int
     name: str
@@ -158,9 +158,9 @@
     pins: tuple[Pin, ...] = ()
 
     def checks_fencing(self, endpoint: str) -> bool:
-        """Returns whether an endpoint is known to check fencing numbers.
+        """Returns whether an endpoint is known to check fencing tokens.
 
-        The first matching rule decides; without one, it does not check.
+        The first matching rule decides; without one, the answer is no.
         """
         for rule in self.endpoint_rules:
             if fnmatch.fnmatchcase(endpoint, rule.pattern):
--- a/src/almondshift/model/lifetimes.py
+++ b/src/almondshift/model/lifetimes.py
@@ -1,8 +1,8 @@
-"""Names of engines' lifetimes.
+"""Names that distinguish the starts of an engine.
 
-An engine may start again under the name that it had and then knows nothing of
-before. All that is believed of an engine is therefore kept under a name that
-holds its start too, so that beliefs about one start never reach the next.
+An engine may restart under the same name and then has lost all state. State
+about an engine is therefore kept under a name that includes its start time, so
+that what is known about one start is never applied to the next.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
     Args:
         engine: The engine's own name.
-        born_ms: Unix milliseconds of its start; 0 if it does not say.
+        born_ms: Unix milliseconds of its start; 0 if not reported.
     """
     if not born_ms and SEPARATOR not in engine:
         return engine
@@ -23,5 +23,5 @@
 
 
 def engine_name(lifetime: str) -> str:
-    """Returns the name by which the engine knows itself."""
+    """Returns the engine's own name."""
     return lifetime.rpartition(SEPARATOR)[0] or lifetime
--- a/src/almondshift/model/orders.py
+++ b/src/almondshift/model/orders.py
@@ -1,4 +1,4 @@
-"""Orders that the holder of the control lease gives to engines."""
+"""Orders that the holder of the control lease sends to engines."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Order:
-    """What an engine should hold and do; idempotent.
+    """The role and layers that an engine should take on; idempotent.
 
     Attributes:
-        fencing: Fencing number of the lease under which it was given.
+        fencing: Fencing token of the lease under which it was sent.
         role: The role to take.
         model: Model to hold, ``""`` to hold nothing.
         version: Version of the model.
@@ -42,7 +42,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OrderAnswer:
-    """The engine's answer; ``highest`` is the highest fencing it saw."""
+    """The engine's answer; ``highest`` is the highest fencing token it saw."""
 
     status: OrderStatus
     highest: int
--- a/src/almondshift/model/prefixes.py
+++ b/src/almondshift/model/prefixes.py
@@ -11,10 +11,10 @@
     from collections.abc import Sequence
 
 BLOCK_TOKENS = 16
-"""Positions between prefixes that are told apart."""
+"""Tokens per block; prefixes are digested in whole blocks."""
 
 MAX_BLOCKS = 64
-"""Blocks of a prompt that are digested for hints; the rest adds little."""
+"""Blocks of a prompt that are digested for routing hints; more add little."""
 
 _BLOCK = struct.Struct(f"<{BLOCK_TOKENS}Q")
 
@@ -28,8 +28,8 @@
     """Returns the digest of a prefix that is one block longer.
 
     Args:
-        digest: Digest of the blocks before; for the first, the seed.
-        block: ``BLOCK_TOKENS`` inputs.
+        digest: Digest of the blocks before; for the first block, the seed.
+        block: ``BLOCK_TOKENS`` token ids.
     """
     return xxhash.xxh64_intdigest(_BLOCK.pack(*block), digest)
 
@@ -37,7 +37,7 @@
 def digests(
     model: str, version: int, adapter: str, tokens: Sequence[int]
 ) -> list[int]:
-    """Returns the digest of each whole block's prefix, shortest first."""
+    """Returns digests of the prefixes that end with a full block, in order."""
     digest = seed(model, version, adapter)
     found = []
     for block in range(min(len(tokens) // BLOCK_TOKENS, MAX_BLOCKS)):
--- a/src/almondshift/model/registered_engines.py
+++ b/src/almondshift/model/registered_engines.py
@@ -1,4 +1,4 @@
-"""Endpoints as they registered themselves."""
+"""Endpoints as they appear in the registry."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RegisteredEngine:
-    """One start of an endpoint.
+    """An endpoint from one of its starts to the next.
 
     Attributes:
         instance: Unique to this start, see ``lifetimes``.
-        address: ``host:port``; may be another endpoint's later.
+        address: ``host:port``; may later belong to another endpoint.
         leaving: Whether it gets no new work.
         kind: Its kind of accelerator; empty for a plain service.
         layers: The layers that it holds; None for none.
-        born_ms: Unix milliseconds of its start; 0 if it does not say.
+        born_ms: Unix milliseconds of its start; 0 if not reported.
     """
 
     instance: str
--- a/src/almondshift/model/relayed.py
+++ b/src/almondshift/model/relayed.py
@@ -1,4 +1,4 @@
-"""A caller's request that is passed on as it came, and parts of its answer."""
+"""A caller's request that is forwarded unchanged, and parts of its answer."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RelayedRequest:
-    """A request, decoded at the border.
+    """A request as decoded on arrival.
 
     Attributes:
         request_id: Chosen by the caller, one for each attempt.
         target: Path and query, unchanged.
         path: The target without its query.
-        headers: Fields to pass on unchanged.
-        wait_s: How long the caller will wait; None if it did not say.
+        headers: Header fields to forward unchanged.
+        wait_s: How long the caller will wait; None if not given.
         key: Bearer key; empty for none.
-        last_event_id: The last event that the caller has; empty for none.
+        last_event_id: The last event that the caller got; empty for none.
         prompt_tokens: Length of the prompt; 0 if not given.
-        output_tokens: Most tokens that may be generated; 0 if not given.
+        output_tokens: Maximum number of tokens to generate; 0 if not given.
         expected_tokens: The caller's estimate of the output; 0 for none.
-        connection_s: Age of the connection that it came on.
+        connection_s: Age of the connection that it arrived on.
     """
 
     request_id: str
@@ -57,8 +57,8 @@
     """The head of an endpoint's answer.
 
     Attributes:
-        headers: Fields to pass on unchanged.
-        genuine: Whether the endpoint vouches for the answer.
+        headers: Header fields to forward unchanged.
+        genuine: Whether the endpoint marked the answer as its own.
         not_run: Whether it says that the request did not run.
         faulty_address: The endpoint at fault, if it names one.
     """
@@ -72,16 +72,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Forwarding:
-    """How a request is passed on.
+    """How a request is forwarded.
 
     Attributes:
-        address: The endpoint that gets it.
-        instance: The start of the endpoint that is meant.
+        address: ``host:port`` of the endpoint to send it to.
+        instance: The start of the endpoint that it is meant for.
         path: Empty for an endpoint that serves alone.
-        remaining_s: What is left of the caller's time.
+        remaining_s: Time left until the caller's deadline.
         account: Name of the client account; empty for none.
-        priority: 0 to 9, 0 first; None for the endpoint's default.
-        last_event_id: Go on after this event; empty for from the start.
+        priority: 0 to 9, 0 is the most urgent; None for the endpoint's default.
+        last_event_id: Event to resume after; empty to begin at the start.
     """
 
     address: str
@@ -95,7 +95,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StalledRequest:
-    """A running request that stands still behind a silent endpoint."""
+    """A running request that is stalled by an unresponsive endpoint."""
 
     request_id: str
     address: str
@@ -103,16 +103,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineReport:
-    """What an engine says of itself, as of some hundred ms ago.
+    """An engine's report on itself, a few hundred milliseconds old.
 
     Attributes:
-        pace: Over 1 for an engine that is slow.
+        pace: Slowdown factor; over 1 for an engine that is slow.
         used: Memory that can't be freed, in tokens times layers.
         total: Memory for requests, in tokens times layers.
         busy: Whether an order is being carried out.
         orders: Number of orders accepted.
-        stalled: Requests that stand still, if it is first of their paths.
-        born_ms: Unix milliseconds of its start; 0 if it does not say.
+        stalled: Stalled requests whose path starts at this engine.
+        born_ms: Unix milliseconds of its start; 0 if not reported.
     """
 
     pace: float
--- a/src/almondshift/model/routed_requests.py
+++ b/src/almondshift/model/routed_requests.py
@@ -1,4 +1,4 @@
-"""Callers' requests with what the configuration says of them."""
+"""Callers' requests with the route and account that apply to them."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RoutedRequest:
-    """A request with what was decided from the configuration.
+    """A request with what the configuration determines about it.
 
     Attributes:
         account: Name of the client account; empty for none.
         priority: 0 is the most urgent.
-        config_version: The configuration that decided.
+        config_version: Version of the configuration that was applied.
     """
 
     request: relayed.RelayedRequest
--- a/src/almondshift/model/routes.py
+++ b/src/almondshift/model/routes.py
@@ -1,4 +1,4 @@
-"""Routes: which requests go to which service, and what may be repeated."""
+"""Routes: which requests go to which service, and which may be retried."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class RepeatRule(enum.Enum):
-    """What may be done again with a request."""
+    """Whether and how a request may be sent again."""
 
     IDEMPOTENT = "idempotent"
     AT_MOST_ONCE = "at_most_once"
@@ -16,10 +16,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceShare:
-    """A part of a route's traffic.
+    """A service's share of a route's traffic.
 
     Attributes:
-        weight: Relative to the other parts; not negative.
+        weight: Relative to the other shares; not negative.
     """
 
     service: str
@@ -33,14 +33,14 @@
     Attributes:
         prefix: Begins and ends with a slash.
         timeout_s: Longest time that a caller is kept waiting.
-        objective_s: Time to the answer, or to a stream's first event,
-            within which it is worth most.
-        event_gap_s: Longest pause between events for the same.
+        objective_s: Target time to the answer, or to a stream's first event;
+            later answers are worth less.
+        event_gap_s: Target for the longest pause between a stream's events.
         priority: 0 is the most urgent.
-        max_attempts: Endpoints that one request may be run by.
+        max_attempts: Maximum number of endpoints that may run one request.
         public: Whether callers need no key.
-        resumable: Whether a stream may go on at another endpoint.
-        patience_s: Silence after which callers abandon a stream.
+        resumable: Whether a stream may resume at another endpoint.
+        patience_s: Silence after which callers are taken to abandon a stream.
     """
 
     name: str
--- a/src/almondshift/model/routing_config.py
+++ b/src/almondshift/model/routing_config.py
@@ -17,8 +17,9 @@
     """A service that routes lead to.
 
     Attributes:
-        max_connections: Connections that one endpoint takes from all nodes.
-        engine: Figures of its engines; None for a plain service.
+        max_connections: Connections that one endpoint accepts from all nodes
+            together.
+        engine: Published figures of its engines; None for a plain service.
     """
 
     name: str
@@ -32,8 +33,8 @@
     """A client account.
 
     Attributes:
-        keys: Bearer keys; any of them stands for the account.
-        priority: Goes before the route's; None for the route's.
+        keys: Bearer keys; any of them identifies the account.
+        priority: Overrides the route's; None to keep the route's.
     """
 
     name: str
@@ -45,8 +46,8 @@
 class CallerLimits:
     """What a caller may send, and how long a connection may stay idle.
 
-    The time that a head may take is not among them: the server bounds it by
-    the idle time.
+    The time to receive a request's head has no limit of its own: the server
+    bounds it by the idle timeout.
     """
 
     header_bytes: int
@@ -56,7 +57,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class RoutingConfig:
-    """A whole configuration.
+    """A complete configuration.
 
     Attributes:
         accounts: Empty if callers need no keys.
@@ -70,7 +71,7 @@
 
     @functools.cached_property
     def table(self) -> model_routes.RouteTable:
-        """The routes, to search."""
+        """The routes as a lookup table."""
         return model_routes.RouteTable(self.routes)
 
     @functools.cached_property
--- a/src/almondshift/model/steps.py
+++ b/src/almondshift/model/steps.py
@@ -11,7 +11,7 @@
 
 
 class StepStatus(enum.StrEnum):
-    """How an engine answered one item; all but ``OK`` mean not run."""
+    """An engine's answer to one item; with all but ``OK`` it was not run."""
 
     OK = "ok"
     BUSY = "busy"
@@ -23,12 +23,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StepItem:
-    """Consecutive positions of one request through one stage.
+    """Consecutive positions of one request to run through one stage.
 
     Attributes:
         request_id: The caller's request.
         session: Engine session, unique to request, epoch and stage.
-        epoch: Attempt epoch; grows by one with each recovery.
+        epoch: Attempt epoch; increases by one with each recovery.
         position: First position in ``inputs``, counted from 0.
         layers: Layers to run.
         model: Model name.
@@ -70,7 +70,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StepResult:
-    """The answer to a ``StepItem``; echoes what identifies it.
+    """The answer to a ``StepItem``; echoes the fields that identify it.
 
     Attributes:
         outputs: One value for each input: activations, or, from the last
@@ -108,10 +108,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KvSnapshot:
-    """An exported KV cache of one session.
+    """The exported KV cache of one session.
 
     Attributes:
-        session: The session it was exported from, or will be imported as.
+        session: The session that it was exported from or is imported as.
         length: Number of positions held.
         state: Opaque engine data.
     """
