--- a/src/almondshift/ports/clocks.py
+++ b/src/almondshift/ports/clocks.py
@@ -1,4 +1,4 @@
-"""Time, as an interface, so that tests can drive it."""
+"""An interface to time, so that tests can control it."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 
     @abc.abstractmethod
     def wall(self) -> float:
-        """Returns seconds since the epoch; only for logs and people."""
+        """Returns seconds since the Unix epoch; only for logs and display."""
 
     @abc.abstractmethod
     async def sleep(self, seconds: float) -> None:
-        """Waits for ``seconds`` without blocking the loop."""
+        """Waits for ``seconds`` without blocking the event loop."""
--- a/src/almondshift/ports/engines.py
+++ b/src/almondshift/ports/engines.py
@@ -1,4 +1,4 @@
-"""A model engine; everything engine-specific stays behind this."""
+"""The interface to model engines; it hides everything engine-specific."""
 
 from __future__ import annotations
 
@@ -28,7 +28,8 @@
 
     A call that fails with ``EndpointUnreachable`` sent nothing. One that
     fails with ``EndpointOutcomeUnknown`` may have run, and the connection
-    it used is closed, so that a late answer can't meet a later call.
+    it used is closed, so that a late answer can't be taken for that of a later
+    call.
     """
 
     @abc.abstractmethod
@@ -43,7 +44,7 @@
     async def describe(
         self,
     ) -> expression.Result[endpoints.EndpointDescription, EngineError]:
-        """Asks what the engine is."""
+        """Requests the engine's description of itself."""
 
     @abc.abstractmethod
     async def step(
@@ -78,19 +79,19 @@
     async def load(
         self,
     ) -> expression.Result[endpoints.LoadReport, EngineError]:
-        """Reads the engine's load report, which lags."""
+        """Reads the engine's load report, which may be stale."""
 
     @abc.abstractmethod
     async def cache_events(
         self, after: int
     ) -> expression.Result[list[endpoints.CacheEvent], EngineError]:
-        """Reads cache events with a sequence over ``after``."""
+        """Reads cache events with a sequence number above ``after``."""
 
     @abc.abstractmethod
     async def order(
         self, order: orders.Order
     ) -> expression.Result[orders.OrderAnswer, EngineError]:
-        """Gives an order; idempotent."""
+        """Sends an order; idempotent."""
 
 
 class EngineFactory(abc.ABC):
@@ -98,4 +99,4 @@
 
     @abc.abstractmethod
     def build(self, name: str, address: str) -> Engine:
-        """Builds a connection to an endpoint; not started yet."""
+        """Builds a connection to an endpoint without starting it."""
--- a/src/almondshift/ports/gateway.py
+++ b/src/almondshift/ports/gateway.py
@@ -1,4 +1,4 @@
-"""What the HTTP front asks of the node on behalf of callers."""
+"""The interface of the node to the HTTP front that serves callers."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     """Addresses, the best first.
 
     Attributes:
-        hold_seconds: How long a caller should keep this answer.
+        hold_seconds: How long a caller should cache this answer.
     """
 
     addresses: tuple[EntryAddress, ...]
@@ -61,10 +61,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Admission:
-    """A request that asks to be taken.
+    """A request to be admitted.
 
     Attributes:
-        tokens: Length of its answer at most; 0 if it has none.
+        tokens: Maximum length of its answer; 0 if it has none.
         deadline: Monotonic time.
     """
 
@@ -87,19 +87,19 @@
 
     @abc.abstractmethod
     def close(self) -> None:
-        """Drops the work; safe to call again."""
+        """Cancels the work; may be called more than once."""
 
     @abc.abstractmethod
     def execution(self) -> errors.Execution:
-        """Returns what is known now of whether any engine ran it."""
+        """Returns what is currently known of whether any engine ran it."""
 
     @abc.abstractmethod
     def chain(self) -> chains.Chain | None:
-        """Returns the chain in use; None for a kept answer."""
+        """Returns the chain in use; None for a stored answer."""
 
     @abc.abstractmethod
     def summary(self) -> completions.CompletionSummary:
-        """Returns where the time went."""
+        """Returns the time spent in each stage, and the recoveries."""
 
 
 class Gateway(abc.ABC):
@@ -121,16 +121,16 @@
     def begin(
         self, wanted: Admission, cut: Callable[[errors.NodeLeaving], None]
     ) -> expression.Result[None, errors.NodeLeaving]:
-        """Takes a request, or refuses it while the node is leaving.
+        """Admits a request, or refuses it while the node is shutting down.
 
         Args:
             wanted: The request.
-            cut: Called if the node closes before the request has ended.
+            cut: Called if the node stops before the request has ended.
         """
 
     @abc.abstractmethod
     def end(self, request_id: str) -> None:
-        """Notes that a request ended, in whatever way."""
+        """Records that a request ended, whatever the outcome."""
 
     @abc.abstractmethod
     def entries(self, account: str) -> Entries:
@@ -140,10 +140,10 @@
     async def complete(
         self, request: completions.CompletionRequest
     ) -> expression.Result[CompletionStream, errors.AlmondshiftError]:
-        """Starts a completion, or finds its kept answer."""
+        """Starts a completion, or returns its stored answer."""
 
     @abc.abstractmethod
     async def call_plain(
         self, request: PlainRequest
     ) -> expression.Result[plain_services.PlainAnswer, errors.AlmondshiftError]:
-        """Calls a plain service, or finds the kept answer."""
+        """Calls a plain service, or returns its stored answer."""
--- a/src/almondshift/ports/operations.py
+++ b/src/almondshift/ports/operations.py
@@ -1,4 +1,4 @@
-"""What operators may ask of a node."""
+"""The interface of a node to operators."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
     """An accepted configuration text.
 
     Attributes:
-        version: Positive; grows by one with each accepted change.
+        version: Positive; increases by one with each accepted change.
         change_id: Id chosen by the operator's client for this change.
-        verified: False if known only through peers, with the platform away.
+        verified: False if known only from peers, not from the platform.
     """
 
     version: int
@@ -32,7 +32,7 @@
 
 
 class Operations(abc.ABC):
-    """Operators' calls; each node answers them."""
+    """Operators' calls; every node answers them."""
 
     @abc.abstractmethod
     async def apply_config(
@@ -44,7 +44,7 @@
     async def show_config(
         self, version: int | None
     ) -> expression.Result[ConfigVersion, errors.AlmondshiftError]:
-        """Returns a version, or with None the one in force here."""
+        """Returns a version, or for None the one in force on this node."""
 
     @abc.abstractmethod
     async def config_history(
@@ -62,4 +62,4 @@
 
     @abc.abstractmethod
     def objective_counts(self) -> dict[str, Any]:
-        """Returns this node's counts for the report on burn, as JSON."""
+        """Returns this node's counts for the error budget report, as JSON."""
--- a/src/almondshift/ports/path_engines.py
+++ b/src/almondshift/ports/path_engines.py
@@ -1,4 +1,4 @@
-"""Endpoints that take a request whole; engines pass work along a path."""
+"""Endpoints that take complete requests; engines pass work along a path."""
 
 from __future__ import annotations
 
@@ -12,7 +12,14 @@
 
 
 class Ending(enum.Enum):
-    """How a forwarded request ended."""
+    """How a forwarded request ended.
+
+    Attributes:
+        WHOLE: The complete answer arrived.
+        NOT_SENT: No connection was made, so nothing was sent.
+        BROKEN: The connection failed before the end of the answer.
+        SPOILT: The answer was invalid, over a limit or for another request.
+    """
 
     WHOLE = "whole"
     NOT_SENT = "not_sent"
@@ -21,7 +28,7 @@
 
 
 class OrderOutcome(enum.Enum):
-    """What became of an order."""
+    """The outcome of an order."""
 
     DONE = "done"
     BEGUN = "begun"
@@ -48,15 +55,15 @@
 
     @abc.abstractmethod
     def on_head(self, head: relayed.ForwardedHead) -> None:
-        """Takes the head."""
+        """Receives the head."""
 
     @abc.abstractmethod
     def on_data(self, data: bytes) -> None:
-        """Takes a part of the body."""
+        """Receives a part of the body."""
 
     @abc.abstractmethod
     def on_end(self, ending: Ending, reason: str) -> None:
-        """Takes the end; called once, unless the request was cancelled."""
+        """Receives the end; called once, unless the request was cancelled."""
 
 
 class ForwardedRequest(abc.ABC):
@@ -64,11 +71,11 @@
 
     @abc.abstractmethod
     def cancel(self) -> None:
-        """Stops it at the endpoint, and calls the listener no more."""
+        """Stops it at the endpoint; the listener is not called any more."""
 
 
 class PathEngines(abc.ABC):
-    """Calls of endpoints."""
+    """Calls to endpoints."""
 
     @abc.abstractmethod
     def forward(
@@ -83,17 +90,17 @@
     async def report(
         self, address: str, timeout_s: float
     ) -> relayed.EngineReport | None:
-        """Asks an engine how it is; None if it does not answer in time."""
+        """Requests an engine's report; None if it does not answer in time."""
 
     @abc.abstractmethod
     async def is_healthy(
         self, address: str, health_path: str, timeout_s: float
     ) -> bool | None:
-        """Asks an endpoint's health check.
+        """Calls an endpoint's health check.
 
         Returns:
             Whether it takes new work; None if it does not answer in time, or
-            is too busy to say.
+            is too busy to tell.
         """
 
     @abc.abstractmethod
@@ -110,12 +117,13 @@
 
         Args:
             address: ``host:port``.
-            instance: Only this start of the engine may obey.
+            instance: Only this start of the engine may carry out the order.
             start: First layer.
             end: The layer after the last.
-            expected_orders: The order is void if the engine has accepted
+            expected_orders: The engine refuses the order if it has accepted
                 another number of orders; None for no such condition.
-            timeout_s: After this its outcome is unknown.
+            timeout_s: Time without an answer after which the outcome is
+                unknown.
         """
 
     @abc.abstractmethod
@@ -125,8 +133,8 @@
         path: relayed.Path,
         timeout_s: float,
     ) -> OrderAnswer:
-        """Moves a running request to another path with the same first part."""
+        """Moves a running request to a path with the same first engine."""
 
     @abc.abstractmethod
     def forget(self, address: str) -> None:
-        """Closes kept connections to an endpoint that is gone."""
+        """Closes idle connections to an endpoint that is gone."""
--- a/src/almondshift/ports/peers.py
+++ b/src/almondshift/ports/peers.py
@@ -31,16 +31,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Fact:
-    """Something that one node knows and tells others.
+    """A piece of state that a node shares with its peers.
 
     Of two facts with the same kind and key, the one with the higher
-    ``(version, origin)`` stands.
+    ``(version, origin)`` wins.
 
     Attributes:
-        version: Grows with each change by the origin.
-        origin: Node that stated it.
-        ttl_s: Seconds for which it holds, counted from each receipt less
-            the time it was on the way.
+        version: Increases with each change by the origin.
+        origin: Node that published it.
+        ttl_s: Seconds for which it is valid, counted from each receipt and
+            reduced by the time that it was in transit.
         value: JSON text as bytes.
     """
 
@@ -54,7 +54,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FactDigest:
-    """Names a fact without its value."""
+    """Identifies a fact without its value."""
 
     kind: FactKind
     key: str
@@ -67,7 +67,7 @@
     """One side of a push-pull exchange.
 
     Attributes:
-        digests: What the sender holds (all or a part).
+        digests: Digests of the facts that the sender holds (all or a part).
         facts: Facts that the sender believes the receiver lacks.
         wants: Digests of facts that the sender asks for.
     """
@@ -113,7 +113,7 @@
     async def start(
         self, handler: Callable[[PeerMessage], Awaitable[PeerMessage]]
     ) -> None:
-        """Listens, and answers each message with what ``handler`` gives."""
+        """Listens, and answers each message with what ``handler`` returns."""
 
     @abc.abstractmethod
     async def close(self) -> None:
--- a/src/almondshift/ports/plain_services.py
+++ b/src/almondshift/ports/plain_services.py
@@ -1,4 +1,4 @@
-"""A plain service beside the engines."""
+"""The interface to plain services, which use no engine."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
     """A call to a plain service.
 
     Attributes:
-        path: Path and query below the service's root, with leading slash.
+        path: Path and query below the service's root, with a leading slash.
         attempt: Id of this attempt, sent as ``X-Attempt-Id``.
-        repeatable: Whether the transport may use a kept connection. A call
-            that is not repeatable always goes over a new connection, since
-            HTTP clients resend on a kept one that turns out dead.
+        repeatable: Whether the transport may reuse a connection. A call that
+            is not repeatable always goes over a new connection, since HTTP
+            clients resend a request when a reused one turns out closed.
     """
 
     request_id: str
@@ -40,7 +40,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlainAnswer:
-    """A whole answer of a plain service."""
+    """A complete answer of a plain service."""
 
     status: int
     content_type: str
@@ -62,4 +62,4 @@
     async def call(
         self, address: str, call: PlainCall
     ) -> expression.Result[PlainAnswer, PlainError]:
-        """Sends one call, once; never follows redirects or resends."""
+        """Sends a call once; never resends it or follows redirects."""
--- a/src/almondshift/ports/relays.py
+++ b/src/almondshift/ports/relays.py
@@ -1,4 +1,4 @@
-"""Between the front, which speaks to callers, and what serves them."""
+"""Interfaces between the front, which talks to callers, and the relay."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     """Writes one answer to a caller.
 
     Attributes:
-        head_sent: Whether the answer has begun.
+        head_sent: Whether status and header fields have been sent.
         ended: Whether nothing more can be written.
     """
 
@@ -26,7 +26,7 @@
     def send_head(
         self, status: int, headers: tuple[tuple[str, str], ...]
     ) -> None:
-        """Begins the answer."""
+        """Sends the status and the header fields."""
 
     @abc.abstractmethod
     def send_data(self, data: bytes) -> None:
@@ -36,19 +36,19 @@
     def send_whole(
         self, status: int, headers: tuple[tuple[str, str], ...], body: bytes
     ) -> None:
-        """Sends an answer whose body is known, from head to end."""
+        """Sends a complete answer whose body is known."""
 
     @abc.abstractmethod
     def finish(self) -> None:
-        """Ends the answer as whole."""
+        """Ends the answer as complete."""
 
     @abc.abstractmethod
     def break_off(self) -> None:
-        """Ends an answer so that it can't be taken for a whole one."""
+        """Aborts the answer so that it can't be mistaken for a complete one."""
 
     @abc.abstractmethod
     def fail(self, error: errors.AlmondshiftError) -> None:
-        """Answers with an error; only before the answer has begun."""
+        """Answers with an error; only before the head has been sent."""
 
 
 class Relaying(abc.ABC):
@@ -56,11 +56,11 @@
 
     @abc.abstractmethod
     def caller_gone(self) -> None:
-        """Stops the work: nobody waits for the answer any more."""
+        """Stops the work, since the caller has disconnected."""
 
     @abc.abstractmethod
     def cut(self) -> None:
-        """Ends the request, since the node stops before it has ended."""
+        """Aborts the request, since the node is stopping."""
 
 
 class Relay(abc.ABC):
@@ -70,7 +70,7 @@
     def accept(
         self, request: relayed.RelayedRequest, responder: Responder
     ) -> Relaying:
-        """Takes a request; the answer goes to ``responder``."""
+        """Accepts a request; the answer goes to ``responder``."""
 
     @abc.abstractmethod
     def limits(self) -> routing_config.CallerLimits:
--- a/src/almondshift/ports/row_feeds.py
+++ b/src/almondshift/ports/row_feeds.py
@@ -1,4 +1,4 @@
-"""Reading a table whole, and then what changes in it."""
+"""Reading a complete table, and then following its changes."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FeedRow:
-    """A row, or that it was removed.
+    """A row or its removal.
 
     Attributes:
         value: The content; None if the row was removed.
-        revision: Grows over the whole store.
+        revision: Revision of the change; increases across the whole store.
     """
 
     key: str
@@ -31,12 +31,14 @@
     """Rows as of a revision.
 
     Attributes:
-        rows: In the order of their changes; for a whole read, by key.
+        rows: In the order of their changes; if the table was read, by key.
         revision: The newest revision of the store that is covered.
-        is_whole: Whether these are all rows: what is missing was removed.
-        unchanged: Keys of rows that are not repeated, since the asker has
-            them; together with ``rows`` all, if ``is_whole``.
-        age_s: Since the store confirmed this; over 0 if it comes from a copy.
+        is_whole: Whether this covers the complete table, so that rows missing
+            from it were removed.
+        unchanged: Keys of rows that are left out, since the requester has
+            them; if ``is_whole``, these and ``rows`` are the complete table.
+        age_s: Time since the store confirmed this; over 0 if it comes from a
+            copy.
     """
 
     rows: tuple[FeedRow, ...]
@@ -63,5 +65,6 @@
 
         Returns:
             The changes, empty after ``wait_s``; None if the history no
-            longer reaches back so far and the table must be read whole.
+            longer reaches back to ``after`` and the complete table must be
+            read.
         """
--- a/src/almondshift/ports/stores.py
+++ b/src/almondshift/ports/stores.py
@@ -17,7 +17,7 @@
 )
 
 ABSENT = 0
-"""Revision of a row that must not exist for a write to take effect."""
+"""Expected revision of a row that must not exist before a write."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -26,7 +26,7 @@
 
     Attributes:
         value: JSON object.
-        revision: Positive; grows with every write of the row.
+        revision: Positive; increases with every write of the row.
     """
 
     table: str
@@ -52,7 +52,7 @@
 
 
 class TableStore(abc.ABC):
-    """A transactional table: several hundred writes, 2,000 reads a second."""
+    """A transactional table for several hundred writes and 2,000 reads/s."""
 
     @abc.abstractmethod
     async def read(
@@ -64,7 +64,7 @@
     async def scan(
         self, table: str, prefix: str, limit: int
     ) -> expression.Result[list[Row], StoreError]:
-        """Reads up to ``limit`` rows by key order below a prefix."""
+        """Reads up to ``limit`` rows whose key starts with a prefix, by key."""
 
     @abc.abstractmethod
     async def transact(
@@ -74,8 +74,9 @@
 
         Returns:
             The new revisions (0 for a delete), or ``ConditionFailed`` if
-            nothing was written, ``StoreUnavailable`` if the request never
-            left, ``StoreOutcomeUnknown`` if its answer did not arrive.
+            nothing was written, ``StoreUnavailable`` if the request was not
+            sent or was refused, ``StoreOutcomeUnknown`` if its answer did not
+            arrive.
         """
 
 
@@ -92,4 +93,4 @@
     async def put(
         self, key: str, content: bytes
     ) -> expression.Result[None, StoreError]:
-        """Writes an object whole."""
+        """Writes a complete object."""
--- a/src/almondshift/ports/tokenizers.py
+++ b/src/almondshift/ports/tokenizers.py
@@ -1,4 +1,4 @@
-"""Text to token ids and back."""
+"""Conversion of text to token ids and back."""
 
 from __future__ import annotations
 
--- a/src/almondshift/ports/vm_lists.py
+++ b/src/almondshift/ports/vm_lists.py
@@ -1,4 +1,4 @@
-"""The platform's list of VMs, which lags."""
+"""The platform's list of VMs, which may be stale."""
 
 from __future__ import annotations
 
@@ -19,4 +19,4 @@
     async def list(
         self,
     ) -> expression.Result[list[endpoints.Vm], errors.StoreUnavailable]:
-        """Returns the endpoint VMs as the platform last saw them."""
+        """Returns the endpoint VMs as last known to the platform."""
