--- a/tests/asynchronous.py
+++ b/tests/asynchronous.py
@@ -17,11 +17,11 @@
 def run(
     test: Callable[..., Coroutine[Any, Any, None]],
 ) -> Callable[..., None]:
-    """Wraps a coroutine test; it fails if it hangs."""
+    """Wraps a coroutine test, which fails if it hangs."""
 
     @functools.wraps(test)
-    def wrapped(*values: Any, **named: Any) -> None:
-        asyncio.run(asyncio.wait_for(test(*values, **named), TEST_TIMEOUT_S))
+    def wrapped(*args: Any, **kwargs: Any) -> None:
+        asyncio.run(asyncio.wait_for(test(*args, **kwargs), TEST_TIMEOUT_S))
 
     return wrapped
 
--- a/tests/fakes/clocks.py
+++ b/tests/fakes/clocks.py
@@ -1,4 +1,4 @@
-"""A clock that tests drive."""
+"""A clock that tests control."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 
 async def settle(turns: int = 50) -> None:
-    """Lets every task run until it waits for something outside."""
+    """Lets every task run until it waits for an external event."""
     for _ in range(turns):
         await asyncio.sleep(0)
 
 
 class VirtualClock(clocks.Clock):
-    """Time that moves only when told; sleeps end as it passes them."""
+    """A clock that moves only when advanced, which ends the sleeps passed."""
 
     def __init__(self, start: float = 1000.0) -> None:
         self.now = start
@@ -37,7 +37,7 @@
         await future
 
     async def advance(self, seconds: float) -> None:
-        """Moves time on, waking sleepers in order as it passes them."""
+        """Advances the time, waking sleepers in order as it passes them."""
         await settle()
         until = self.now + seconds
         while self.sleepers and self.sleepers[0][0] <= until:
--- a/tests/fakes/machines.py
+++ b/tests/fakes/machines.py
@@ -1,4 +1,4 @@
-"""A base for hypothesis machines over asyncio code."""
+"""A base for hypothesis state machines that test asyncio code."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class LoopMachine(stateful.RuleBasedStateMachine):
-    """Owns a loop; tasks go on only while a rule runs."""
+    """Owns an event loop; tasks make progress only while a rule runs."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -40,7 +40,7 @@
         return self.loop.run_until_complete(work)
 
     def begin(self, work: Coroutine[Any, Any, T]) -> asyncio.Task[T]:
-        """Starts a task and lets it go as far as it can."""
+        """Starts a task and runs it as far as it can go."""
         task = self.loop.create_task(work)
         self.tasks.append(task)
         self.settle()
--- a/tests/fakes/tables.py
+++ b/tests/fakes/tables.py
@@ -1,4 +1,4 @@
-"""An in-memory table whose calls a test can lose, refuse and hold."""
+"""An in-memory table store whose calls a test can refuse, lose and delay."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
     OK = enum.auto()
     REFUSED = enum.auto()
-    """Nothing happens and the caller knows it."""
+    """Nothing happens, and the caller is told so."""
     LOST = enum.auto()
     """A write takes effect; its answer is lost."""
     DROPPED = enum.auto()
-    """A write does not take effect; the caller can't know."""
+    """A write does not take effect; the caller gets an unknown outcome."""
     LATE = enum.auto()
-    """The caller can't know; takes effect at ``land_late``."""
+    """A write takes effect at ``land_late``; until then like ``DROPPED``."""
 
 
 MOSTLY_FINE = [Outcome.OK] * 4 + [
@@ -34,12 +34,12 @@
     Outcome.DROPPED,
     Outcome.LATE,
 ]
-"""Outcomes to draw from, so that most calls of a run go through."""
+"""Outcomes to draw from, so that most calls of a run succeed."""
 
 
 @dataclasses.dataclass(slots=True)
 class HeldAnswer:
-    """An answer that waits to be delivered to a paused caller."""
+    """An answer that is held back from a paused caller."""
 
     delivered: asyncio.Future[None]
 
@@ -50,9 +50,10 @@
     Attributes:
         outcomes: Outcomes of the next calls; ``OK`` once used up.
         down: Refuses all calls while set.
-        paused: Holds the answers to all calls while set, as a frozen
-            process sees them; calls still take effect when made.
-        writes: Number of transactions made.
+        paused: Holds back the answers to all calls while set, as if the
+            process were suspended; calls still take effect when made.
+        reads: Number of reads and scans.
+        writes: Number of transactions.
     """
 
     def __init__(self, shared: tables.MemoryTables | None = None) -> None:
@@ -72,7 +73,7 @@
         if self._next_outcome() is not Outcome.OK:
             return expression.Error(_unavailable())
         row = self.shared.read(table, key)
-        await self._answer()
+        await self._delay_answer()
         return expression.Ok(row)
 
     async def scan(
@@ -82,7 +83,7 @@
         if self._next_outcome() is not Outcome.OK:
             return expression.Error(_unavailable())
         rows = self.shared.scan(table, prefix, limit)
-        await self._answer()
+        await self._delay_answer()
         return expression.Ok(rows)
 
     async def transact(
@@ -95,10 +96,10 @@
         if outcome is Outcome.LATE:
             self.late.append(writes)
         if outcome in (Outcome.LATE, Outcome.DROPPED):
-            await self._answer()
+            await self._delay_answer()
             return expression.Error(_unknown())
         result = self.shared.transact(writes)
-        await self._answer()
+        await self._delay_answer()
         if outcome is Outcome.LOST:
             return expression.Error(_unknown())
         if result.is_error():
@@ -106,7 +107,7 @@
         return expression.Ok(result.ok)
 
     def land_late(self) -> None:
-        """Lets late writes take effect, if their conditions hold."""
+        """Applies the late writes whose conditions hold."""
         for writes in self.late:
             self.shared.transact(writes)
         self.late.clear()
@@ -124,8 +125,8 @@
             return Outcome.REFUSED
         return self.outcomes.popleft() if self.outcomes else Outcome.OK
 
-    async def _answer(self) -> None:
-        """Answers after one turn of the loop, or when resumed."""
+    async def _delay_answer(self) -> None:
+        """Returns in the next cycle of the event loop, or when resumed."""
         await asyncio.sleep(0)
         if not self.paused:
             return
