--- a/src/almondshift/model/endpoints.py
+++ b/src/almondshift/model/endpoints.py
@@ -90,7 +90,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadReport:
-    """An engine's report on its load, ``age_s`` old when it was received."""
+    """An engine's report on its load, ``age_s`` old when it was received.
+
+    Attributes:
+        order_number: Fencing token of the order last accepted.
+    """
 
     endpoint: str
     instance: str
--- a/src/almondshift/model/engine_specs.py
+++ b/src/almondshift/model/engine_specs.py
@@ -36,7 +36,7 @@
         read_tokens_per_s: Prefill speed.
         usual_prompt: Mean length of a prompt in tokens.
         usual_answer: Mean length of an answer in tokens.
-        slots: Concurrent requests of an engine that is first in their path.
+        slots: Requests that an engine runs at once as the first of a path.
         kinds: Kinds of accelerators by name.
     """
 
--- a/src/almondshift/model/fleet.py
+++ b/src/almondshift/model/fleet.py
@@ -131,7 +131,7 @@
 
     Attributes:
         key_hash: ``sha256:`` and the hex digest of its bearer key.
-        weight: Share under overload, relative to other accounts.
+        weight: Share of a saturated system, relative to other accounts.
         tokens_per_s: Rate limit over all nodes; 0 for none.
         services: Services that it may call; empty for all.
     """
--- a/src/almondshift/model/prefixes.py
+++ b/src/almondshift/model/prefixes.py
@@ -14,7 +14,7 @@
 """Tokens per block; prefixes are digested in whole blocks."""
 
 MAX_BLOCKS = 64
-"""Blocks of a prompt that are digested for routing hints; more add little."""
+"""Blocks of a prompt digested for routing hints; later ones add little."""
 
 _BLOCK = struct.Struct(f"<{BLOCK_TOKENS}Q")
 
@@ -29,7 +29,7 @@
 
     Args:
         digest: Digest of the blocks before; for the first block, the seed.
-        block: ``BLOCK_TOKENS`` token ids.
+        block: ``BLOCK_TOKENS`` inputs of a stage: token ids or activations.
     """
     return xxhash.xxh64_intdigest(_BLOCK.pack(*block), digest)
 
--- a/src/almondshift/model/registered_engines.py
+++ b/src/almondshift/model/registered_engines.py
@@ -11,7 +11,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RegisteredEngine:
-    """An endpoint from one of its starts to the next.
+    """One run of an endpoint; each restart registers a new one.
 
     Attributes:
         instance: Unique to this start, see ``lifetimes``.
--- a/src/almondshift/model/routes.py
+++ b/src/almondshift/model/routes.py
@@ -40,7 +40,7 @@
         max_attempts: Maximum number of endpoints that may run one request.
         public: Whether callers need no key.
         resumable: Whether a stream may resume at another endpoint.
-        patience_s: Silence after which callers are taken to abandon a stream.
+        patience_s: Silence after which callers are assumed to abandon a stream.
     """
 
     name: str
