--- a/bench/watching.py
+++ b/bench/watching.py
@@ -105,7 +105,9 @@
     made = memberships.create_membership(
         link, CLOCK, random.Random(1), identity, found.seeds
     )
-    made.settings = dataclasses.replace(made.settings, silent_beats=10_000)
+    made.settings = dataclasses.replace(
+        made.settings, suspect_after_heartbeats=10_000
+    )
     made.join()
     for number in range(1, nodes):
         value = peer_types.NodeValue(peer="p:1", entry="e:1", zone="zone")
--- a/src/almondshift/coordination/leaving.py
+++ b/src/almondshift/coordination/leaving.py
@@ -170,7 +170,7 @@
         )
         self.publish_leaving(endpoint, present)
 
-    def vms_listed(self, vms: Iterable[endpoints.Vm]) -> None:
+    def update_vm_list(self, vms: Iterable[endpoints.Vm]) -> None:
         """Updates from the platform's list, which lags.
 
         A VM that is live in the list does not refute the other sources, since
--- a/src/almondshift/coordination/membership.py
+++ b/src/almondshift/coordination/membership.py
@@ -98,7 +98,7 @@
                 self.node, peer_address=self.link.address
             )
         self.join()
-        self.startup_until = self.clock.monotonic() + self.settings.meeting_s
+        self.startup_until = self.clock.monotonic() + self.settings.startup_s
         self.spawn(self.run_exchange_loop())
         self.spawn(self.run_seed_refresh_loop())
 
@@ -184,7 +184,7 @@
         """Refreshes the seed addresses periodically."""
         while True:
             await self.refresh_seeds()
-            await self.clock.sleep(self.settings.seeds_s)
+            await self.clock.sleep(self.settings.seed_interval_s)
 
     async def refresh_seeds(self) -> None:
         """Fetches the seed addresses; keeps the previous ones on failure."""
@@ -330,10 +330,10 @@
         chosen = self.rng.sample(known, min(self.settings.fan_out, len(known)))
         is_due = not urgent and now >= self.next_seed_call_at
         if is_due or not known:
-            seeds_s = self.settings.seeds_s
+            seed_interval_s = self.settings.seed_interval_s
             if self.is_starting_up():
-                seeds_s = self.settings.startup_interval_s
-            self.next_seed_call_at = now + seeds_s
+                seed_interval_s = self.settings.startup_interval_s
+            self.next_seed_call_at = now + seed_interval_s
             chosen += self.pick_non_member_address(known)
         return chosen
 
--- a/src/almondshift/coordination/peer_table.py
+++ b/src/almondshift/coordination/peer_table.py
@@ -65,20 +65,23 @@
     def heartbeat_interval_s(self) -> float:
         """Returns the time between heartbeats at the current group size."""
         return max(
-            self.settings.interval_s, self.size() / self.settings.beats_per_s
+            self.settings.interval_s,
+            self.size() / self.settings.heartbeats_per_s,
         )
 
     def suspect_after_s(self) -> float:
         """Returns the silence after which a node is suspect."""
-        missed_s = self.settings.silent_beats * self.heartbeat_interval_s()
-        return missed_s + self.settings.spread_s
+        missed_s = (
+            self.settings.suspect_after_heartbeats * self.heartbeat_interval_s()
+        )
+        return missed_s + self.settings.propagation_s
 
     def dropped_after_s(self) -> float:
         """Returns the silence after which a node is dropped."""
         missed_s = (
             self.settings.drop_after_heartbeats * self.heartbeat_interval_s()
         )
-        return missed_s + self.settings.spread_s
+        return missed_s + self.settings.propagation_s
 
     def heartbeat_ttl_s(self, entry: fact_store.Entry) -> float:
         """Returns how long a node's fact is valid after each heartbeat."""
@@ -136,7 +139,7 @@
             state=self.peer_state(
                 entry.key, value, now - heard_at, now, suspect_s
             ),
-            heard_s=now - heard_at,
+            silence_s=now - heard_at,
         )
 
     def peer_state(
--- a/src/almondshift/coordination/peer_types.py
+++ b/src/almondshift/coordination/peer_types.py
@@ -37,7 +37,7 @@
     """A peer as this node sees it.
 
     Attributes:
-        heard_s: Seconds since the last sign of life.
+        silence_s: Seconds since the last sign of life.
     """
 
     name: str
@@ -45,7 +45,7 @@
     entry_address: str
     zone: str
     state: PeerState
-    heard_s: float
+    silence_s: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -60,16 +60,19 @@
         message_bytes: Maximum size of an exchange message.
         bytes_per_s: Most bytes sent per second, including replies.
         rotated_digests: Digests in a message besides heartbeats.
-        beats_per_s: Heartbeats per second in the whole system; with more
+        heartbeats_per_s: Heartbeats per second in the whole system; with more
             nodes each sends fewer, so that the traffic stays constant.
-        silent_beats: Missed heartbeats after which a node is suspect.
+        suspect_after_heartbeats: Missed heartbeats after which a node is
+            suspect.
         drop_after_heartbeats: Missed heartbeats after which it is dropped.
-        spread_s: Allowance for the propagation of a heartbeat to all nodes.
+        propagation_s: Allowance for the propagation of a heartbeat to all
+            nodes.
         failed_calls: Consecutive failed calls that make a peer suspect here.
         pause_threshold_s: Time without a round after which this process must
             have been frozen, and messages that waited meanwhile are stale.
-        seeds_s: Time between calls to an address outside the membership.
-        meeting_s: Time after the start in which rounds are more frequent.
+        seed_interval_s: Time between calls to an address outside the
+            membership.
+        startup_s: Time after the start in which rounds are more frequent.
         startup_interval_s: Time between rounds during that time.
         max_value_bytes: Maximum size of the value of a published fact.
     """
@@ -81,14 +84,14 @@
     message_bytes: int = 3_000
     bytes_per_s: float = 14_000.0
     rotated_digests: int = 20
-    beats_per_s: float = 20.0
-    silent_beats: int = 3
+    heartbeats_per_s: float = 20.0
+    suspect_after_heartbeats: int = 3
     drop_after_heartbeats: int = 10
-    spread_s: float = 2.0
+    propagation_s: float = 2.0
     failed_calls: int = 2
     pause_threshold_s: float = 5.0
-    seeds_s: float = 10.0
-    meeting_s: float = 0.0
+    seed_interval_s: float = 10.0
+    startup_s: float = 0.0
     startup_interval_s: float = 0.3
     max_value_bytes: int = 1_500
 
--- a/src/almondshift/coordination/quarantine.py
+++ b/src/almondshift/coordination/quarantine.py
@@ -182,7 +182,7 @@
         left = self.convicted.get(fingerprint, now) - now
         if left > 0:
             return quarantine_verdicts.refused(left, convicted=True)
-        crashes = self.counting(fingerprint)
+        crashes = self.crashes_against(fingerprint)
         if not crashes:
             return quarantine_verdicts.FREE
         if self.is_running_somewhere(fingerprint):
@@ -196,9 +196,11 @@
             return self.convict(fingerprint)
         return quarantine_verdicts.ALONE
 
-    def counting(self, fingerprint: str) -> list[quarantine_crashes.Crash]:
+    def crashes_against(
+        self, fingerprint: str
+    ) -> list[quarantine_crashes.Crash]:
         """Returns the crashes that count against a request."""
-        return self.crashes.counting(fingerprint)
+        return self.crashes.crashes_against(fingerprint)
 
     def is_running_somewhere(self, fingerprint: str) -> bool:
         """Returns whether a suspect is in flight on this or another node."""
@@ -216,7 +218,7 @@
         self.publisher.publish_convicted(fingerprint)
         return quarantine_verdicts.refused(duration_s, convicted=True)
 
-    def passed(self, fingerprint: str) -> None:
+    def clear_suspect(self, fingerprint: str) -> None:
         """Clears a suspect that got past the crash point; publishes it."""
         self.crashes.clear(fingerprint, self.clock.monotonic())
         self.publisher.publish_cleared(fingerprint)
@@ -260,7 +262,7 @@
             return
         self.publisher.publish_trial_ended(fingerprint)
         if completed:
-            self.passed(fingerprint)
+            self.clear_suspect(fingerprint)
 
     # Facts of peers.
 
--- a/src/almondshift/coordination/quarantine_crashes.py
+++ b/src/almondshift/coordination/quarantine_crashes.py
@@ -120,7 +120,7 @@
         if crash is not None:
             crash.excluded = True
 
-    def counting(self, fingerprint: str) -> list[Crash]:
+    def crashes_against(self, fingerprint: str) -> list[Crash]:
         """Returns the crashes that implicate a request."""
         since = self.clock.monotonic() - self.settings.suspicion_s
         return [
--- a/src/almondshift/coordination/quarantine_trials.py
+++ b/src/almondshift/coordination/quarantine_trials.py
@@ -123,7 +123,7 @@
         the trial is unknown, since the endpoint may still crash.
         """
         if outcome is TrialOutcome.CRASHED:
-            counting = self.quarantine.counting(trial.fingerprint)
+            counting = self.quarantine.crashes_against(trial.fingerprint)
             return not any(crash.alone for crash in counting)
         return outcome is not TrialOutcome.UNKNOWN
 
--- a/src/almondshift/node/crash_guard.py
+++ b/src/almondshift/node/crash_guard.py
@@ -108,7 +108,7 @@
     ) -> AsyncIterator[None]:
         """Wraps one call; lets only one suspect at a time use an endpoint."""
         fingerprint = self._fingerprint(request_id)
-        if not self.quarantine.counting(fingerprint):
+        if not self.quarantine.crashes_against(fingerprint):
             self.quarantine.in_flight(endpoint, fingerprint)
             yield
             return
@@ -155,8 +155,8 @@
         """Records a complete answer of a plain service; clears a suspect."""
         fingerprint = self._fingerprint(request_id)
         self.quarantine.done(endpoint, fingerprint)
-        if self.quarantine.counting(fingerprint):
-            self.quarantine.passed(fingerprint)
+        if self.quarantine.crashes_against(fingerprint):
+            self.quarantine.clear_suspect(fingerprint)
 
     async def admit_retry(
         self, request_id: str
@@ -196,7 +196,7 @@
         with the guilty one and be refused. The order of the nodes differs by
         endpoint, so that no node always waits longest.
         """
-        endpoint = self.quarantine.counting(fingerprint)[0].endpoint
+        endpoint = self.quarantine.crashes_against(fingerprint)[0].endpoint
         return RETRY_SLOT_S * (self.rank(endpoint) % RETRY_SLOTS)
 
     async def _check_idle_endpoints(self, fingerprint: str) -> None:
@@ -206,7 +206,7 @@
         run its work. Without checking the others, two crashes in the rack
         would be blamed on the request that moved from one to the other.
         """
-        crashes = self.quarantine.counting(fingerprint)
+        crashes = self.quarantine.crashes_against(fingerprint)
         zones = {crash.zone for crash in crashes}
         known_dead = {crash.endpoint for crash in crashes}
         names = [
@@ -242,7 +242,7 @@
         )
 
     def _crash_count(self, fingerprint: str) -> int:
-        crashes = self.quarantine.counting(fingerprint)
+        crashes = self.quarantine.crashes_against(fingerprint)
         return len({crash.endpoint for crash in crashes})
 
     def _note_progress(
@@ -257,7 +257,7 @@
         ):
             return
         del self._crash_positions[fingerprint]
-        self.quarantine.passed(fingerprint)
+        self.quarantine.clear_suspect(fingerprint)
 
     async def _has_crashed(self, endpoint: str) -> bool:
         """Checks for a crash; concurrent failed calls share one check."""
--- a/src/almondshift/node/directory.py
+++ b/src/almondshift/node/directory.py
@@ -249,7 +249,7 @@
         seen = {vm.name for vm in vms}
         for vm in vms:
             await self._update_vm(vm)
-        self.leaving.vms_listed(vms)
+        self.leaving.update_vm_list(vms)
         self.notify_router_of_leaving()
         for name in list(self.endpoints):
             if name in seen:
--- a/src/almondshift/relay/application.py
+++ b/src/almondshift/relay/application.py
@@ -57,11 +57,11 @@
 MEMBERSHIP_SETTINGS = peer_types.MembershipSettings(
     interval_s=1.0,
     call_timeout_s=0.4,
-    silent_beats=2,
-    spread_s=1.0,
-    seeds_s=1.0,
-    meeting_s=2.0,
-    beats_per_s=40.0,
+    suspect_after_heartbeats=2,
+    propagation_s=1.0,
+    seed_interval_s=1.0,
+    startup_s=2.0,
+    heartbeats_per_s=40.0,
 )
 """Addresses outside the group are tried every second, so that nodes that
 started during a store outage, or lost contact, find each other in seconds."""
--- a/src/almondshift/relay/group.py
+++ b/src/almondshift/relay/group.py
@@ -243,7 +243,9 @@
         """
         serving = self.serving()
         fresh = [
-            peer for peer in serving if peer.heard_s <= MAX_ADVERTISED_SILENCE_S
+            peer
+            for peer in serving
+            if peer.silence_s <= MAX_ADVERTISED_SILENCE_S
         ]
         return fresh if len(fresh) >= MIN_ADVERTISED_PEERS else serving
 
@@ -324,7 +326,8 @@
                 and former is not peer_types.PeerState.SUSPECT
             ):
                 log_events.emit(
-                    logger, log_events.PeerSuspect(name, round(peer.heard_s, 2))
+                    logger,
+                    log_events.PeerSuspect(name, round(peer.silence_s, 2)),
                 )
         for name in self.states.keys() - present.keys():
             log_events.emit(logger, log_events.PeerGone(name, "silent or left"))
--- a/tests/coordination/test_leaving.py
+++ b/tests/coordination/test_leaving.py
@@ -25,7 +25,7 @@
 
 
 def listed(state: endpoints.VmState) -> Callable[..., None]:
-    return lambda known: known.vms_listed([vm(state)])
+    return lambda known: known.update_vm_list([vm(state)])
 
 
 def reported(instance: str) -> Callable[..., None]:
@@ -52,7 +52,7 @@
 
 LIVE = listed(endpoints.VmState.LIVE)
 LISTED_LEAVING = listed(endpoints.VmState.LEAVING)
-GONE: Callable[..., None] = lambda known: known.vms_listed([])  # noqa: E731
+GONE: Callable[..., None] = lambda known: known.update_vm_list([])  # noqa: E731
 
 
 @pytest.mark.parametrize(
@@ -120,7 +120,7 @@
             sets[node.node.name] = known
         sets["node-4"].endpoint_said("e", "i1")
         for known in sets.values():
-            known.vms_listed([vm(endpoints.VmState.LIVE)])
+            known.update_vm_list([vm(endpoints.VmState.LIVE)])
         rounds = await cluster.run_until(
             lambda: all(known.is_leaving("e") for known in sets.values()),
             LIST_LAG_S,
@@ -189,7 +189,7 @@
     @stateful.rule(lag=st.integers(0, 3))
     def list_vms(self, lag: int) -> None:
         index = max(0, len(self.history) - 1 - lag)
-        self.known.vms_listed([vm(self.history[index])])
+        self.known.update_vm_list([vm(self.history[index])])
 
     @stateful.rule()
     def report(self) -> None:
@@ -223,7 +223,7 @@
     @stateful.rule()
     def settle(self) -> None:
         """With an up-to-date list and a fresh report, the state is right."""
-        self.known.vms_listed([vm(self.history[-1])])
+        self.known.update_vm_list([vm(self.history[-1])])
         self.report()
         assert self.known.is_leaving("e") is self.is_leaving
 
--- a/tests/coordination/test_membership_tcp.py
+++ b/tests/coordination/test_membership_tcp.py
@@ -22,7 +22,7 @@
 
 CONFIG = peers.FactKind.CONFIG
 FAST = peer_types.MembershipSettings(
-    interval_s=0.2, urgent_gap_s=0.05, call_timeout_s=0.2, spread_s=0.5
+    interval_s=0.2, urgent_gap_s=0.05, call_timeout_s=0.2, propagation_s=0.5
 )
 
 
--- a/tests/coordination/test_starting_together.py
+++ b/tests/coordination/test_starting_together.py
@@ -17,7 +17,10 @@
 """Callers that lost their node reconnect within one or two seconds."""
 
 SETTINGS = peer_types.MembershipSettings(
-    interval_s=1.0, seeds_s=1.0, beats_per_s=40.0, meeting_s=DISCOVERY_LIMIT_S
+    interval_s=1.0,
+    seed_interval_s=1.0,
+    heartbeats_per_s=40.0,
+    startup_s=DISCOVERY_LIMIT_S,
 )
 
 
@@ -78,7 +81,7 @@
     """Otherwise each node would call nodes that are gone in every round."""
 
     async def scenario() -> None:
-        settings = dataclasses.replace(SETTINGS, seeds_s=10.0)
+        settings = dataclasses.replace(SETTINGS, seed_interval_s=10.0)
         cluster = await network.create_cluster(6, 1, settings)
         cluster.seeds.append(network.address_of("gone"))
         node = cluster.nodes["node-0"]
--- a/tests/relay/test_group.py
+++ b/tests/relay/test_group.py
@@ -108,7 +108,7 @@
     assert len(found) == named
     if named < len(heard):
         assert (
-            max(peer.heard_s for peer in found)
+            max(peer.silence_s for peer in found)
             <= group.MAX_ADVERTISED_SILENCE_S
         )
 
