--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -232,7 +232,7 @@
             catalogue.Decoders(decode.decode_config, decode.decode_engine),
             "config",
         )
-        self.known.take_config_row(
+        self.known.apply_config_row(
             row_feeds.FeedRow("config", config(), 1), verified=True
         )
         self.book = engine_book.EngineBook()
@@ -291,7 +291,7 @@
         row = row_feeds.FeedRow(
             engine.instance, entry(engine, number, state), self.revision
         )
-        self.known.take_engine_row(row, self.clock.monotonic(), FAR)
+        self.known.apply_engine_row(row, self.clock.monotonic(), FAR)
 
     def choose(self) -> path_choice.ChosenPath:
         """Chooses a path for a request."""
@@ -377,8 +377,8 @@
         for run in streams:
             assert run.attempt is not None
             run.attempt.active_at = now
-        node.watch.ask_again_at = 0.0
-        looks.append(timed(node.watch.look_at_all))
+        node.watch.next_engine_check_at = 0.0
+        looks.append(timed(node.watch.check_all))
     return {
         "event_us": statistics.median(costs) * US,
         "look_us": statistics.median(looks) * US,
--- a/src/almondshift/relay/application.py
+++ b/src/almondshift/relay/application.py
@@ -350,7 +350,7 @@
     ) -> None:
         """Applies rows of the operators' configuration table."""
         for row in rows:
-            self.catalogue.take_config_row(row, verified)
+            self.catalogue.apply_config_row(row, verified)
 
     def apply_engines(
         self, rows: list[row_feeds.FeedRow], verified: bool
@@ -359,7 +359,7 @@
         del verified
         now = self.ports.clock.monotonic()
         for row in rows:
-            self.catalogue.take_engine_row(
+            self.catalogue.apply_engine_row(
                 row, now, self.engine_watch.outage_ended_at
             )
 
--- a/src/almondshift/relay/catalogue.py
+++ b/src/almondshift/relay/catalogue.py
@@ -102,7 +102,7 @@
             Callable[[registered_engines.RegisteredEngine], None]
         ] = []
 
-    def take_config_row(self, row: row_feeds.FeedRow, verified: bool) -> None:
+    def apply_config_row(self, row: row_feeds.FeedRow, verified: bool) -> None:
         """Applies a row of the operators' table.
 
         An older version never replaces a newer one, since rows arrive from the
@@ -129,7 +129,7 @@
         for callback in self.on_config:
             callback()
 
-    def take_engine_row(
+    def apply_engine_row(
         self, row: row_feeds.FeedRow, now: float, store_back_at: float
     ) -> None:
         """Applies a row of the registry.
--- a/src/almondshift/relay/path_probe.py
+++ b/src/almondshift/relay/path_probe.py
@@ -32,7 +32,7 @@
     from almondshift.relay import stream_moves
     from almondshift.relay import stream_run
 
-ANSWER_S = 0.05
+QUERY_TIMEOUT_S = 0.05
 """Time-out of a query, in seconds; live engines in the region answer within
 milliseconds."""
 
@@ -183,7 +183,7 @@
             return
         if not is_peer_report and not await self.is_own_link_up():
             return
-        limit_s = SECOND_QUERY_S + 2 * ANSWER_S + MAX_OVERRUN_S
+        limit_s = SECOND_QUERY_S + 2 * QUERY_TIMEOUT_S + MAX_OVERRUN_S
         if self.loop.time() - self.started_at > limit_s:
             return
         self.moves.engine_lost(part.instance, engine_book.Suspicion.UNREACHABLE)
@@ -209,7 +209,7 @@
     async def query(self, part: relayed.PathPart) -> bool:
         """Queries an engine; records its pace if it answers."""
         report = await self.questions.report(
-            part.instance, part.address, ANSWER_S
+            part.instance, part.address, QUERY_TIMEOUT_S
         )
         if report is None:
             return False
@@ -228,7 +228,7 @@
             ):
                 return True
         try:
-            async with asyncio.timeout(ANSWER_S):
+            async with asyncio.timeout(QUERY_TIMEOUT_S):
                 await self.answered.wait()
         except TimeoutError:
             return False
--- a/src/almondshift/relay/silence_watch.py
+++ b/src/almondshift/relay/silence_watch.py
@@ -62,7 +62,7 @@
         self.probe = path_probe.PathProbe(
             shared, self.work, self.moves, self.questions
         )
-        self.ask_again_at = 0.0
+        self.next_engine_check_at = 0.0
         self.queried_at: dict[str, float] = {}
         self.unanswered: dict[str, int] = {}
 
@@ -71,8 +71,8 @@
         self.shared.lost.on_peer_report = self.check_reported
         self.shared.lost.is_streaming = self.moves.is_streaming
         self.work.repeat(
-            stream_moves.LOOK_S,
-            self.look_at_all,
+            stream_moves.CHECK_INTERVAL_S,
+            self.check_all,
             "check of silent streams failed",
         )
 
@@ -87,15 +87,15 @@
         self.questions.forget(instance)
         self.probe.forget(instance)
 
-    def look_at_all(self) -> None:
+    def check_all(self) -> None:
         """Checks streams and engines, and starts queries and moves."""
         self.moves.note_check()
         self.probe.start_due_round(asyncio.get_running_loop().time())
         self.query_first_engines()
         self.moves.move_off_leaving()
         now = asyncio.get_running_loop().time()
-        if now >= self.ask_again_at:
-            self.ask_again_at = now + ENGINE_CHECK_INTERVAL_S
+        if now >= self.next_engine_check_at:
+            self.next_engine_check_at = now + ENGINE_CHECK_INTERVAL_S
             self.questions.query_due()
 
     def check_reported(
--- a/src/almondshift/relay/stream_moves.py
+++ b/src/almondshift/relay/stream_moves.py
@@ -15,11 +15,11 @@
     from almondshift.relay import background
     from almondshift.relay import context
 
-MAX_LIVE_EVENT_AGE_S = 2 * path_probe.ANSWER_S
+MAX_LIVE_EVENT_AGE_S = 2 * path_probe.QUERY_TIMEOUT_S
 """Maximum age of a stream's last event that proves its engine alive, in
 seconds. An engine found dead by two unanswered queries is silent for longer."""
 
-LOOK_S = 0.02
+CHECK_INTERVAL_S = 0.02
 """Interval between checks of all streams, in seconds; well below the shortest
 silence that triggers a probe."""
 
@@ -103,7 +103,7 @@
     def note_check(self) -> None:
         """Records the time of a check of all streams, and its delay."""
         now = asyncio.get_running_loop().time()
-        self.late_s = max(0.0, now - self.checked_at - LOOK_S)
+        self.late_s = max(0.0, now - self.checked_at - CHECK_INTERVAL_S)
         self.checked_at = now
 
     def unscheduled_s(self) -> float:
@@ -112,7 +112,7 @@
         Events that arrived in the meantime have not been read yet.
         """
         now = asyncio.get_running_loop().time()
-        return max(self.late_s, now - self.checked_at - LOOK_S)
+        return max(self.late_s, now - self.checked_at - CHECK_INTERVAL_S)
 
     def engine_slow(self, instance: str, pace: float) -> None:
         """Moves streams off an engine that has just become slow.
--- a/tests/policy/test_probe_timing.py
+++ b/tests/policy/test_probe_timing.py
@@ -21,8 +21,8 @@
 ) -> None:
     """Streams of a dead engine are late although others could take over."""
     silent_s = probe_timing.patience_s(events, usual_s * (events - 1))
-    found_s = silent_s + stream_moves.LOOK_S
-    found_s += path_probe.SECOND_QUERY_S + path_probe.ANSWER_S
+    found_s = silent_s + stream_moves.CHECK_INTERVAL_S
+    found_s += path_probe.SECOND_QUERY_S + path_probe.QUERY_TIMEOUT_S
     assert found_s < LATE_S
 
 
@@ -52,7 +52,7 @@
     factor = pooled_load.question_gap(nodes)
     probes = 0
     for look in range(500):
-        now = look * stream_moves.LOOK_S
+        now = look * stream_moves.CHECK_INTERVAL_S
         if backoff.is_due(now):
             backoff.note_probe(now, factor)
             probes += 1
--- a/tests/relay/test_catalogue.py
+++ b/tests/relay/test_catalogue.py
@@ -44,7 +44,7 @@
         if version is not None:
             value = standin_system.config()
             value["version"] = version
-        known.take_config_row(_row("config", value), True)
+        known.apply_config_row(_row("config", value), True)
     assert known.config is not None
     assert known.config.version == expected
 
@@ -67,8 +67,8 @@
     engines write them again within two seconds; others are gone.
     """
     known = _catalogue()
-    known.take_engine_row(_row("i", _engine()), 0.0, AWAY)
-    known.take_engine_row(_row("i", None, 2), removed_at, back_at)
+    known.apply_engine_row(_row("i", _engine()), 0.0, AWAY)
+    known.apply_engine_row(_row("i", None, 2), removed_at, back_at)
     known.expire_removals(kept_until - 0.05)
     assert ("i" in known.engines) is (kept_until > removed_at)
     known.expire_removals(kept_until + 0.05)
@@ -77,9 +77,9 @@
 
 def test_an_entry_that_comes_back_in_time_stays() -> None:
     known = _catalogue()
-    known.take_engine_row(_row("i", _engine()), 0.0, AWAY)
+    known.apply_engine_row(_row("i", _engine()), 0.0, AWAY)
     known.apply_whole_registry((), 10.0, 9.9)
-    known.take_engine_row(_row("i", _engine(), 3), 10.5, 9.9)
+    known.apply_engine_row(_row("i", _engine(), 3), 10.5, 9.9)
     known.expire_removals(20.0)
     assert "i" in known.engines
 
@@ -89,14 +89,14 @@
     reported: list[str] = []
     known.on_leaving.append(lambda engine: reported.append(engine.instance))
     for revision, state in enumerate(["ready", "draining", "draining"]):
-        known.take_engine_row(_row("i", _engine(state), revision), 0.0, AWAY)
+        known.apply_engine_row(_row("i", _engine(state), revision), 0.0, AWAY)
     assert reported == ["i"]
 
 
 def test_an_engine_with_an_unreadable_entry_gets_no_work() -> None:
     known = _catalogue()
-    known.take_engine_row(_row("i", _engine()), 0.0, AWAY)
-    known.take_engine_row(row_feeds.FeedRow("i", b"{", 2), 0.0, AWAY)
+    known.apply_engine_row(_row("i", _engine()), 0.0, AWAY)
+    known.apply_engine_row(row_feeds.FeedRow("i", b"{", 2), 0.0, AWAY)
     assert "i" not in known.engines
 
 
@@ -113,7 +113,7 @@
 ) -> None:
     """Otherwise on-call would search for an engine that is still alive."""
     known = _catalogue()
-    known.take_engine_row(_row("i", _engine()), 0.0, AWAY)
-    known.take_engine_row(_row("i", later, 2), 0.0, AWAY)
+    known.apply_engine_row(_row("i", _engine()), 0.0, AWAY)
+    known.apply_engine_row(_row("i", later, 2), 0.0, AWAY)
     reported = [r.reason for r in caplog.records if hasattr(r, "reason")]
     assert reported == [reason]
--- a/tests/relay/test_layer_keeper.py
+++ b/tests/relay/test_layer_keeper.py
@@ -106,7 +106,7 @@
         )
         self.known = catalogue.Catalogue(decoders, "config")
         config = json.dumps(standin_system.config()).encode()
-        self.known.take_config_row(
+        self.known.apply_config_row(
             row_feeds.FeedRow("config", config, 1), verified=True
         )
         self.revision = 1
@@ -144,7 +144,7 @@
     def apply_row(self, instance: str, value: bytes | None) -> None:
         self.revision += 1
         row = row_feeds.FeedRow(instance, value, self.revision)
-        self.known.take_engine_row(row, self.clock.now, AWAY)
+        self.known.apply_engine_row(row, self.clock.now, AWAY)
 
     async def run(self, seconds: float) -> None:
         """Runs the layer keeper for some virtual time."""
--- a/tests/relay/test_lifetimes.py
+++ b/tests/relay/test_lifetimes.py
@@ -83,9 +83,9 @@
     for revision, born in enumerate(starts, start=1):
         if born is None:
             removal = row_feeds.FeedRow("i", None, revision)
-            known.take_engine_row(removal, 0.0, AWAY)
+            known.apply_engine_row(removal, 0.0, AWAY)
         else:
-            known.take_engine_row(_row("i", _born(born), revision), 0.0, AWAY)
+            known.apply_engine_row(_row("i", _born(born), revision), 0.0, AWAY)
     assert _instances(known) == ([expected] if expected else [])
 
 
@@ -109,8 +109,8 @@
     known.on_restarted.append(note("restarted"))
     known.on_gone.append(note("gone"))
     known.on_engine.append(note("engine"))
-    known.take_engine_row(_row("i", _born(5)), 0.0, AWAY)
-    known.take_engine_row(_row("i", _born(9, layers=None), 2), 0.0, AWAY)
+    known.apply_engine_row(_row("i", _born(5)), 0.0, AWAY)
+    known.apply_engine_row(_row("i", _born(9, layers=None), 2), 0.0, AWAY)
     assert calls_made == [
         ("engine", "i@5"),
         ("restarted", "i@5"),
@@ -122,8 +122,8 @@
 
 def test_a_removal_drops_the_current_start() -> None:
     known = _catalogue()
-    known.take_engine_row(_row("i", _born(5)), 0.0, AWAY)
-    known.take_engine_row(_row("i", _born(9), 2), 0.0, AWAY)
+    known.apply_engine_row(_row("i", _born(5)), 0.0, AWAY)
+    known.apply_engine_row(_row("i", _born(9), 2), 0.0, AWAY)
     known.apply_whole_registry((), 1.0, AWAY)
     assert _instances(known) == []
 
@@ -138,7 +138,7 @@
     """Applies rows that an engine writes as consecutive heartbeats."""
     for index in range(count):
         row = _row("i", _born(born), revision + index)
-        known.take_engine_row(row, (revision + index) * HEARTBEAT_S, AWAY)
+        known.apply_engine_row(row, (revision + index) * HEARTBEAT_S, AWAY)
 
 
 @pytest.mark.parametrize("foreign", [9, FUTURE])
@@ -155,13 +155,13 @@
     """
     known = _catalogue()
     _heartbeats(known, 5, 3, 1)
-    known.take_engine_row(_row("i", _born(foreign), 4), 4 * HEARTBEAT_S, AWAY)
+    known.apply_engine_row(_row("i", _born(foreign), 4), 4 * HEARTBEAT_S, AWAY)
     assert _instances(known) == [f"i@{foreign}"]
     _heartbeats(known, 5, 6, 5)
     assert _instances(known) == ["i@5"]
     for revision, start in ((20, foreign), (21, foreign + 1)):
         row = _row("i", _born(start), revision)
-        known.take_engine_row(row, revision * HEARTBEAT_S, AWAY)
+        known.apply_engine_row(row, revision * HEARTBEAT_S, AWAY)
         assert _instances(known) == ["i@5"]
 
 
@@ -176,7 +176,7 @@
     _heartbeats(known, 9, 1, 2)
     late = _row("i", _born(5), 3)
     for index in range(20):
-        known.take_engine_row(late, 4.0 + index, AWAY)
+        known.apply_engine_row(late, 4.0 + index, AWAY)
     assert _instances(known) == ["i@9"]
 
 
@@ -249,16 +249,16 @@
     until the row is valid again.
     """
     known = _catalogue()
-    known.take_engine_row(_row("i", GOOD), 0.0, AWAY)
+    known.apply_engine_row(_row("i", GOOD), 0.0, AWAY)
     rows = (_row("i", entry, 3), _row("other", GOOD, 4))
     if whole:
         known.apply_whole_registry(rows, 0.0, AWAY)
     else:
         for row in rows:
-            known.take_engine_row(row, 0.0, AWAY)
+            known.apply_engine_row(row, 0.0, AWAY)
     born = GOOD["born"]
     assert _instances(known) == [f"other@{born}"]
-    known.take_engine_row(_row("i", GOOD, 5), 0.0, AWAY)
+    known.apply_engine_row(_row("i", GOOD, 5), 0.0, AWAY)
     assert _instances(known) == [f"i@{born}", f"other@{born}"]
 
 
--- a/tests/relay/test_restart_of_all_nodes.py
+++ b/tests/relay/test_restart_of_all_nodes.py
@@ -123,7 +123,7 @@
             for i in range(engines)]  # fmt: skip
     known.apply_whole_registry(tuple(rows), 0.0, catalogues.AWAY)
     assert seen == codes
-    known.take_engine_row(
+    known.apply_engine_row(
         catalogues._row("late", catalogues._engine()), 0.0, catalogues.AWAY
     )
     assert seen == [*codes, "AS4001"]
