--- a/src/almondshift/coordination/leaving.py
+++ b/src/almondshift/coordination/leaving.py
@@ -154,7 +154,9 @@
         self.former.pop(endpoint, None)
         self.listed.pop(endpoint, None)
 
-    def endpoint_said(self, endpoint: str, instance: str = "") -> None:
+    def endpoint_reported_leaving(
+        self, endpoint: str, instance: str = ""
+    ) -> None:
         """Records the endpoint's own report and notifies peers.
 
         Args:
--- a/src/almondshift/node/directory.py
+++ b/src/almondshift/node/directory.py
@@ -175,7 +175,7 @@
         self, endpoint: str, instance: str = ""
     ) -> None:
         """Records that an endpoint itself reported that it is leaving."""
-        self.leaving.endpoint_said(endpoint, instance)
+        self.leaving.endpoint_reported_leaving(endpoint, instance)
         self.notify_router_of_leaving()
 
     def note_move_from_leaving(self, endpoint: str) -> None:
--- a/tests/coordination/test_leaving.py
+++ b/tests/coordination/test_leaving.py
@@ -29,7 +29,7 @@
 
 
 def reported(instance: str) -> Callable[..., None]:
-    return lambda known: known.endpoint_said("e", instance)
+    return lambda known: known.endpoint_reported_leaving("e", instance)
 
 
 def seen(instance: str) -> Callable[..., None]:
@@ -118,7 +118,7 @@
             node.subscribe(peers.FactKind.LEAVING, known.fact_changed)
             known.instance_seen("e", "i1")
             sets[node.node.name] = known
-        sets["node-4"].endpoint_said("e", "i1")
+        sets["node-4"].endpoint_reported_leaving("e", "i1")
         for known in sets.values():
             known.update_vm_list([vm(endpoints.VmState.LIVE)])
         rounds = await cluster.run_until(
@@ -137,10 +137,10 @@
         clock, lambda kind, key, value, ttl_s: published.append(key)
     )
     for _ in range(10):
-        known.endpoint_said("e", "i1")
+        known.endpoint_reported_leaving("e", "i1")
     assert published == ["e"]
     clock.now += leaving.REPUBLISH_AFTER_S
-    known.endpoint_said("e", "i1")
+    known.endpoint_reported_leaving("e", "i1")
     assert published == ["e", "e"]
 
 
@@ -197,13 +197,13 @@
         name = f"i{self.instance}"
         self.known.instance_seen("e", name)
         if self.is_leaving:
-            self.known.endpoint_said("e", name)
+            self.known.endpoint_reported_leaving("e", name)
             self.was_reported = True
 
     @stateful.precondition(lambda self: self.is_leaving)
     @stateful.rule()
     def refuse_to_peer(self) -> None:
-        self.peer_node.endpoint_said("e", f"i{self.instance}")
+        self.peer_node.endpoint_reported_leaving("e", f"i{self.instance}")
 
     @stateful.precondition(lambda self: self.reports)
     @stateful.rule(data=st.data())
