--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -349,7 +349,7 @@
     node.choose()
     kept = []
     for _ in range(ARRIVALS):
-        node.paths.cached[SERVICE].at = node.clock.monotonic()
+        node.paths.cached[SERVICE].searched_at = node.clock.monotonic()
         kept.append(timed(node.choose))
     searched = []
     for _ in range(SEARCHES):
