--- a/src/almondshift/policy/crash_strikes.py
+++ b/src/almondshift/policy/crash_strikes.py
@@ -76,28 +76,30 @@
     """Counts crashes of endpoints by request.
 
     Attributes:
-        breaks: Broken attempts by instance and fingerprint, until it is clear
-            whether the endpoint crashed.
+        broken_attempts: By instance and fingerprint, until it is clear whether
+            the endpoint crashed.
         strikes: Times of strikes, by fingerprint and name of the strike.
         answered: When requests were last answered successfully, by fingerprint.
     """
 
     def __init__(self) -> None:
-        self.breaks: dict[str, dict[str, BrokenAttempt]] = {}
+        self.broken_attempts: dict[str, dict[str, BrokenAttempt]] = {}
         self.strikes: dict[str, dict[str, float]] = {}
         self.answered: dict[str, float] = {}
 
-    def broke(
+    def note_broken_attempt(
         self, fingerprint: str, attempt: str, instance: str, now: float
     ) -> None:
         """Records that an endpoint broke the connection of a request."""
-        pending = self.breaks.setdefault(instance, {})
+        pending = self.broken_attempts.setdefault(instance, {})
         pending[fingerprint] = BrokenAttempt(attempt, now)
 
     def crashed(self, instance: str, now: float) -> Crash:
         """Records that an endpoint is gone; requests it ran get a strike."""
         struck, convicted = [], []
-        for fingerprint, found in self.breaks.pop(instance, {}).items():
+        for fingerprint, found in self.broken_attempts.pop(
+            instance, {}
+        ).items():
             if now - found.at > CRASH_CONFIRM_S:
                 continue
             known = self.strikes.get(fingerprint, {})
@@ -146,9 +148,9 @@
 
     def forget_old(self, now: float) -> None:
         """Drops broken attempts and strikes that no longer count."""
-        for instance, pending in list(self.breaks.items()):
+        for instance, pending in list(self.broken_attempts.items()):
             if all(now - b.at > CRASH_CONFIRM_S for b in pending.values()):
-                del self.breaks[instance]
+                del self.broken_attempts[instance]
         for fingerprint, known in list(self.strikes.items()):
             if all(now - at > STRIKE_S for at in known.values()):
                 del self.strikes[fingerprint]
--- a/src/almondshift/policy/engine_starts.py
+++ b/src/almondshift/policy/engine_starts.py
@@ -66,29 +66,29 @@
     """Starts of one engine.
 
     Attributes:
-        standing: The accepted one.
+        accepted_start: The accepted one.
         distrusted_from: Starts from this one on are not accepted at once, since
             it was accepted before and was replaced by an earlier one. None if
             there is none.
         challenge: The start that may replace the accepted one, if any.
     """
 
-    standing: int
+    accepted_start: int
     distrusted_from: int | None = None
     challenge: _Challenge | None = None
 
     def is_credible(self, born_ms: int) -> bool:
         """Returns whether a start is accepted at once."""
-        if born_ms < self.standing:
+        if born_ms < self.accepted_start:
             return False
         return self.distrusted_from is None or born_ms < self.distrusted_from
 
     def overturn(self, born_ms: int) -> None:
         """Replaces the accepted start."""
         self.distrusted_from = (
-            self.standing if born_ms < self.standing else None
+            self.accepted_start if born_ms < self.accepted_start else None
         )
-        self.standing = born_ms
+        self.accepted_start = born_ms
         self.challenge = None
 
 
@@ -104,10 +104,10 @@
             collections.OrderedDict()
         )
 
-    def standing(self, engine: str) -> int:
+    def accepted_start(self, engine: str) -> int:
         """Returns the accepted start; 0 if none is known."""
         known = self.known.get(engine)
-        return known.standing if known is not None else 0
+        return known.accepted_start if known is not None else 0
 
     def judge(
         self, engine: str, born_ms: int, revision: int, now: float
@@ -127,7 +127,7 @@
             return StartVerdict.STANDS
         self._remember(engine, known)
         if known.is_credible(born_ms):
-            known.standing = born_ms
+            known.accepted_start = born_ms
             known.challenge = None
             return StartVerdict.STANDS
         if self._is_proved(known, born_ms, revision, now):
--- a/src/almondshift/relay/catalogue.py
+++ b/src/almondshift/relay/catalogue.py
@@ -232,7 +232,7 @@
         of the new one, and a peer may still hold the old row. Applying it
         would restore layers that the new start does not hold.
         """
-        former = self.starts.standing(row.key)
+        former = self.starts.accepted_start(row.key)
         verdict = self.starts.judge(row.key, engine.born_ms, row.revision, now)
         if verdict is engine_starts.StartVerdict.LATE:
             event = log_events.EndpointRowLate(row.key, engine.born_ms, former)
--- a/src/almondshift/relay/crash_watch.py
+++ b/src/almondshift/relay/crash_watch.py
@@ -100,7 +100,9 @@
         """
         now = self.clock.monotonic()
         attempt = f"{routed.request.request_id}/{sends}"
-        self.strikes.broke(fingerprint_of(routed), attempt, instance, now)
+        self.strikes.note_broken_attempt(
+            fingerprint_of(routed), attempt, instance, now
+        )
 
     def note_answered(self, routed: routed_requests.RoutedRequest) -> None:
         """Records that an endpoint completed a request."""
@@ -113,7 +115,7 @@
         An endpoint that had announced its shutdown did not crash.
         """
         if was_leaving:
-            self.strikes.breaks.pop(instance, None)
+            self.strikes.broken_attempts.pop(instance, None)
             return
         crash = self.strikes.crashed(instance, self.clock.monotonic())
         if not crash.fingerprints:
--- a/tests/policy/test_crash_strikes.py
+++ b/tests/policy/test_crash_strikes.py
@@ -11,7 +11,7 @@
     strikes: crash_strikes.CrashStrikes, instance: str, *running: str, at: float
 ) -> crash_strikes.Crash:
     for fingerprint in running:
-        strikes.broke(fingerprint, f"attempt-{at}", instance, at)
+        strikes.note_broken_attempt(fingerprint, f"attempt-{at}", instance, at)
     return strikes.crashed(instance, at + 4.0)
 
 
@@ -38,12 +38,14 @@
 ) -> None:
     strikes = crash_strikes.CrashStrikes()
     for number in range(5):
-        strikes.broke("request", f"attempt-{number}", f"e{number}", 0.0)
+        strikes.note_broken_attempt(
+            "request", f"attempt-{number}", f"e{number}", 0.0
+        )
         if gone_after_s is not None:
             strikes.crashed(f"e{number}", gone_after_s)
     assert not strikes.is_refused("request", 12.0)
     strikes.forget_old(12.0)
-    assert not strikes.breaks
+    assert not strikes.broken_attempts
 
 
 @pytest.mark.parametrize("answered_at", ["before", "between", "after"])
@@ -99,7 +101,7 @@
     """
     strikes = crash_strikes.CrashStrikes()
     for instance in ("e1", "e2", "e3"):
-        strikes.broke("stream", "r1/1", instance, 5.0)
+        strikes.note_broken_attempt("stream", "r1/1", instance, 5.0)
     found = [strikes.crashed(i, 9.0) for i in ("e1", "e2", "e3")]
     assert [c.fingerprints for c in found] == [("stream",), (), ()]
     assert not strikes.is_refused("stream", 9.0)
