--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -235,7 +235,7 @@
         self.known.apply_config_row(
             row_feeds.FeedRow("config", config(), 1), verified=True
         )
-        self.book = engine_book.EngineBook()
+        self.book = engine_book.EngineTracker()
         self.paths = path_choice.create_path_chooser(
             self.book, random.Random(1)
         )
@@ -419,7 +419,7 @@
             await asyncio.sleep(0)
         node.choose()
         costs.append(time.process_time() - start)
-        node.book.trust(lost)
+        node.book.clear_suspicion(lost)
     return {
         "fault_ms": statistics.median(costs) * MS,
         "moved_by_a_fault": moved / FAULTS,
--- a/src/almondshift/policy/engine_book.py
+++ b/src/almondshift/policy/engine_book.py
@@ -16,7 +16,7 @@
 must then answer before it gets any. Covers the delay until the registry drops a
 dead engine."""
 
-PACE_MEMORY_S = 4.0
+PACE_VALID_S = 4.0
 """Validity of a report of slowness, in seconds."""
 
 USED_VALID_S = 1.0
@@ -99,7 +99,7 @@
     layers: int
 
 
-class EngineBook:
+class EngineTracker:
     """Keeps the states of all engines.
 
     Attributes:
@@ -148,7 +148,7 @@
             self.changes += 1
         return is_change
 
-    def trust(self, instance: str) -> None:
+    def clear_suspicion(self, instance: str) -> None:
         """Clears the suspicion of an engine that answers again."""
         state = self.state(instance)
         if state.reason is not None:
@@ -219,7 +219,7 @@
         state = self.states.get(instance)
         return state is not None and state.full_until > now
 
-    def note_unheard(self, instance: str, now: float) -> None:
+    def note_no_first_event(self, instance: str, now: float) -> None:
         """Records that a caller abandoned its wait for a first event.
 
         The engine may still answer queries while its requests wait for
@@ -240,7 +240,7 @@
         if abs(state.pace - pace) > 0.2 * state.pace:
             self.changes += 1
         state.pace = max(1.0, pace)
-        state.pace_until = now + PACE_MEMORY_S
+        state.pace_until = now + PACE_VALID_S
 
     def pace(self, instance: str, now: float) -> float:
         """Returns by which factor an engine is slowed down; 1 if unknown."""
--- a/src/almondshift/policy/path_candidates.py
+++ b/src/almondshift/policy/path_candidates.py
@@ -75,7 +75,7 @@
     """
 
     def __init__(
-        self, book: engine_book.EngineBook, rng: random.Random
+        self, book: engine_book.EngineTracker, rng: random.Random
     ) -> None:
         self.book = book
         self.rng = rng
--- a/src/almondshift/policy/path_choice.py
+++ b/src/almondshift/policy/path_choice.py
@@ -68,7 +68,7 @@
         load: Memory utilisation of its fullest engine, with the request. Taken
             from this node's own requests if that estimate is higher, which
             may exceed 1.
-        crossings: How often the path changes the availability zone.
+        zone_changes: How often the path changes the availability zone.
         rooms: Tokens that fit on each part when its engine is empty.
     """
 
@@ -77,7 +77,7 @@
     zone: str
     cost_ms: float
     load: float
-    crossings: int
+    zone_changes: int
     rooms: tuple[float, ...]
 
 
@@ -86,18 +86,18 @@
 
     Attributes:
         candidates: The engines that paths may use.
-        tight: Addresses of engines that seem nearly full, by instance, until
-            they are queried.
+        nearly_full: Addresses of engines that seem nearly full, by instance,
+            until they are queried.
         cached: Result of the latest search, by service.
     """
 
     def __init__(
-        self, book: engine_book.EngineBook, rng: random.Random
+        self, book: engine_book.EngineTracker, rng: random.Random
     ) -> None:
         self.book = book
         self.rng = rng
         self.candidates = path_candidates.PathCandidates(book, rng)
-        self.tight: dict[str, str] = {}
+        self.nearly_full: dict[str, str] = {}
         self.cached: dict[str, _CachedPaths] = {}
 
     @property
@@ -275,7 +275,7 @@
             tolerance = self.candidates.tolerance(candidate.instance, load.now)
             over = max(over, share / tolerance)
             if share > NEARLY_FULL_SHARE:
-                self.tight[candidate.instance] = candidate.address
+                self.nearly_full[candidate.instance] = candidate.address
         first = found.parts[0].candidate.instance
         if load.first(first) >= spec.slots:
             return None
@@ -328,7 +328,7 @@
         zone=found.parts[0].candidate.zone,
         cost_ms=found.cost_ms,
         load=load,
-        crossings=sum(
+        zone_changes=sum(
             a.candidate.zone != b.candidate.zone
             for a, b in itertools.pairwise(found.parts)
         ),
@@ -337,7 +337,7 @@
 
 
 def create_path_chooser(
-    book: engine_book.EngineBook, rng: random.Random
+    book: engine_book.EngineTracker, rng: random.Random
 ) -> PathChooser:
     """Creates a chooser that uses the given engine states."""
     return PathChooser(book, rng)
--- a/src/almondshift/policy/pooled_load.py
+++ b/src/almondshift/policy/pooled_load.py
@@ -32,7 +32,7 @@
 """Number of nodes above which a node pools its requests."""
 
 
-def question_gap(nodes: int) -> float:
+def query_interval_factor(nodes: int) -> float:
     """Returns by which factor a node extends its intervals between queries.
 
     Each node queries engines on its own. Without this factor a hundred nodes
@@ -160,7 +160,7 @@
 
     def __init__(
         self,
-        book: engine_book.EngineBook,
+        book: engine_book.EngineTracker,
         shares: Mapping[str, EngineShare],
         layers: int,
         nodes: int,
--- a/src/almondshift/policy/probe_timing.py
+++ b/src/almondshift/policy/probe_timing.py
@@ -16,7 +16,7 @@
 import dataclasses
 import math
 
-LEAST_SILENT_S = 0.05
+MIN_SILENT_S = 0.05
 """Minimum silence of a stream that starts a round of probes, in seconds."""
 
 SILENT_INTERVALS = 2.0
@@ -63,10 +63,10 @@
         self.next_at = now + self.gap_s * factor
 
 
-def patience_s(events: int, lasted_s: float) -> float:
+def silence_limit_s(events: int, lasted_s: float) -> float:
     """Returns the silence after which a stream's engines are probed.
 
-    In seconds, and never less than ``LEAST_SILENT_S``.
+    In seconds, and never less than ``MIN_SILENT_S``.
 
     Args:
         events: Events that the stream had; 0 before the first one.
@@ -75,4 +75,4 @@
     if not events:
         return FIRST_SILENT_S
     usual_s = lasted_s / max(1, events - 1)
-    return max(LEAST_SILENT_S, SILENT_INTERVALS * usual_s)
+    return max(MIN_SILENT_S, SILENT_INTERVALS * usual_s)
--- a/src/almondshift/relay/application.py
+++ b/src/almondshift/relay/application.py
@@ -137,7 +137,7 @@
         self.settings = settings
         self.ports = ports
         self.catalogue = catalogue.Catalogue(ports.decoders, ports.config_key)
-        self.book = engine_book.EngineBook()
+        self.book = engine_book.EngineTracker()
         self.feed = shared_feed.create_shared_feed(
             ports.feed, ports.clock, ports.rng
         )
--- a/src/almondshift/relay/engine_questions.py
+++ b/src/almondshift/relay/engine_questions.py
@@ -130,12 +130,12 @@
     def query_nearly_full(self) -> None:
         """Queries the memory use of engines that seem nearly full."""
         now = asyncio.get_running_loop().time()
-        gap_s = MEMORY_QUERY_GAP_S * pooled_load.question_gap(
+        gap_s = MEMORY_QUERY_GAP_S * pooled_load.query_interval_factor(
             self.shared.paths.nodes
         )
-        tight = list(self.shared.paths.tight.items())
-        self.shared.paths.tight.clear()
-        for instance, address in tight:
+        nearly_full = list(self.shared.paths.nearly_full.items())
+        self.shared.paths.nearly_full.clear()
+        for instance, address in nearly_full:
             if len(self.work) >= MAX_QUERIES:
                 return
             if now - self.memory_queried_at.get(instance, -math.inf) < gap_s:
@@ -180,7 +180,7 @@
             is_back = report is not None
         if not is_back:
             return
-        self.shared.book.trust(engine.instance)
+        self.shared.book.clear_suspicion(engine.instance)
         self.shared.observer.emit(
             log_events.EndpointRestored(engine.instance, engine_book.SUSPECT_S)
         )
--- a/src/almondshift/relay/lost_engines.py
+++ b/src/almondshift/relay/lost_engines.py
@@ -53,7 +53,7 @@
         self,
         clock: clocks.Clock,
         registry: catalogue.Catalogue,
-        book: engine_book.EngineBook,
+        book: engine_book.EngineTracker,
         relay_observer: observer.RelayObserver,
     ) -> None:
         self.clock = clock
@@ -111,7 +111,7 @@
 def create_lost_engines(
     clock: clocks.Clock,
     registry: catalogue.Catalogue,
-    book: engine_book.EngineBook,
+    book: engine_book.EngineTracker,
     relay_observer: observer.RelayObserver,
 ) -> LostEngines:
     """Creates an exchange of dead engines; ``join`` connects it to peers."""
--- a/src/almondshift/relay/path_probe.py
+++ b/src/almondshift/relay/path_probe.py
@@ -81,7 +81,7 @@
         due = [b for b in map(self.backoff, parts) if b.is_due(now)]
         if not due:
             return
-        factor = pooled_load.question_gap(self.shared.paths.nodes)
+        factor = pooled_load.query_interval_factor(self.shared.paths.nodes)
         for backoff in due:
             backoff.note_probe(now, factor)
         self.work.run(self.probe(parts))
@@ -113,7 +113,7 @@
         silent = [
             (run, attempt)
             for run, attempt in present
-            if now - attempt.active_at >= probe_timing.LEAST_SILENT_S
+            if now - attempt.active_at >= probe_timing.MIN_SILENT_S
             and now - attempt.active_at >= silence_limit_s(run)
         ]
         if not silent:
@@ -237,6 +237,6 @@
 
 def silence_limit_s(run: stream_run.StreamRun) -> float:
     """Returns the silence of a stream that starts a round, in seconds."""
-    return probe_timing.patience_s(
+    return probe_timing.silence_limit_s(
         run.events_sent, run.progress_at - run.first_at
     )
--- a/src/almondshift/relay/refusing_engines.py
+++ b/src/almondshift/relay/refusing_engines.py
@@ -48,7 +48,7 @@
         self,
         clock: clocks.Clock,
         registry: catalogue.Catalogue,
-        book: engine_book.EngineBook,
+        book: engine_book.EngineTracker,
         engines: path_engines.PathEngines,
         lost: lost_engines.LostEngines,
     ) -> None:
@@ -116,7 +116,7 @@
 def create_refusing_engines(
     clock: clocks.Clock,
     registry: catalogue.Catalogue,
-    book: engine_book.EngineBook,
+    book: engine_book.EngineTracker,
     engines: path_engines.PathEngines,
     lost: lost_engines.LostEngines,
 ) -> RefusingEngines:
--- a/src/almondshift/relay/stream_attempt.py
+++ b/src/almondshift/relay/stream_attempt.py
@@ -22,7 +22,7 @@
 
     Attributes:
         path: The engines that run it.
-        used: The parts of the path as counted in the engine book.
+        used: The parts of the path as counted in the engine tracker.
         active_at: Loop time of the last received data, successful move or, at
             first, of the send.
         is_stream: Whether the response is the requested stream.
--- a/src/almondshift/relay/stream_moves.py
+++ b/src/almondshift/relay/stream_moves.py
@@ -123,7 +123,7 @@
         """
         self.shared.observer.emit(
             log_events.EndpointEjected(
-                instance, f"slow by {pace:.1f}", engine_book.PACE_MEMORY_S
+                instance, f"slow by {pace:.1f}", engine_book.PACE_VALID_S
             )
         )
         self.move_from(instance, is_forced=False)
--- a/src/almondshift/relay/stream_run.py
+++ b/src/almondshift/relay/stream_run.py
@@ -329,7 +329,7 @@
         """
         now = self.shared.clock.monotonic()
         self.shared.book.note_full(instance, now)
-        self.shared.paths.tight[instance] = address
+        self.shared.paths.nearly_full[instance] = address
         self.shared.refusing.check(instance)
 
     def retry_or_end(
@@ -443,7 +443,7 @@
             chosen = self.shared.paths.move(
                 view, attempt.path, self.tokens, now, avoid
             )
-            if chosen is None or chosen.crossings:
+            if chosen is None or chosen.zone_changes:
                 if not is_forced:
                     return
                 if self.has_single_zone_path(away_from):
@@ -510,7 +510,7 @@
         found = self.choose_path(self.failed_engines)
         return (
             found is not None
-            and not found.crossings
+            and not found.zone_changes
             and all(part.instance != away_from for part in found.path)
         )
 
@@ -549,10 +549,10 @@
         waited_s = self.loop.time() - attempt.sent_at
         if waited_s >= NO_EVENT_SHARE * self.routed.route.patience_s:
             now = self.shared.clock.monotonic()
-            self.shared.book.note_unheard(attempt.first.instance, now)
+            self.shared.book.note_no_first_event(attempt.first.instance, now)
 
     def release_attempt(self) -> None:
-        """Drops the current attempt and its load in the engine book."""
+        """Drops the current attempt and its load in the engine tracker."""
         attempt = self.attempt
         self.attempt = None
         if self.first_event_timer is not None:
--- a/tests/policy/test_capacity_shares.py
+++ b/tests/policy/test_capacity_shares.py
@@ -85,7 +85,7 @@
     nodes = []
     for number in range(NODES):
         chooser = path_choice.create_path_chooser(
-            engine_book.EngineBook(), random.Random(number)
+            engine_book.EngineTracker(), random.Random(number)
         )
         chooser.nodes = NODES
         nodes.append(chooser)
--- a/tests/policy/test_group_size.py
+++ b/tests/policy/test_group_size.py
@@ -51,7 +51,7 @@
     firsts: dict[str, int] = {}
     for node in range(NODES):
         chooser = path_choice.create_path_chooser(
-            engine_book.EngineBook(), random.Random(node)
+            engine_book.EngineTracker(), random.Random(node)
         )
         chooser.nodes = size.nodes(0, NODES, 0.2)
         for _ in range(callers):
--- a/tests/policy/test_path_choice.py
+++ b/tests/policy/test_path_choice.py
@@ -35,7 +35,7 @@
 
 
 def _chooser(nodes: int = 7) -> path_choice.PathChooser:
-    book = engine_book.EngineBook()
+    book = engine_book.EngineTracker()
     chooser = path_choice.create_path_chooser(book, random.Random(1))
     chooser.nodes = nodes
     return chooser
@@ -43,11 +43,11 @@
 
 def _report_memory(chooser: path_choice.PathChooser, now: float) -> None:
     """Reports memory of the engines that the chooser wants to query."""
-    for instance in chooser.tight:
+    for instance in chooser.nearly_full:
         used = chooser.book.state(instance).layer_tokens * chooser.nodes
         reported = used / engine_book.MEMORY_GROWTH
         chooser.book.note_used(instance, reported, now)
-    chooser.tight.clear()
+    chooser.nearly_full.clear()
 
 
 @pytest.mark.parametrize(("is_answering", "times"), [(True, 1.0), (False, 2.0)])
@@ -174,7 +174,7 @@
         chosen = chooser.choose(view, TOKENS, 0.0)
         assert chosen is not None
         chooser.book.add(chosen.used, TOKENS)
-    assert len(chooser.tight) == len(view.engines)
+    assert len(chooser.nearly_full) == len(view.engines)
     for engine in view.engines:
         room = SPEC.layer_token_room("k", 20)
         chooser.book.note_used(engine.instance, room * 0.4, 1.0)
@@ -205,7 +205,7 @@
     counts: dict[str, int] = {}
     for seed in range(300):
         chooser = path_choice.create_path_chooser(
-            engine_book.EngineBook(), random.Random(seed)
+            engine_book.EngineTracker(), random.Random(seed)
         )
         chooser.nodes = 73
         chosen = chooser.choose(view, TOKENS, 0.0)
@@ -226,7 +226,7 @@
     chooser = _chooser()
     for second in range(3):
         for zone in "abc":
-            chooser.book.note_unheard(f"{zone}0", float(second))
+            chooser.book.note_no_first_event(f"{zone}0", float(second))
         chooser.book.state("b0").no_first_event_until = 0.0
         chosen = chooser.choose(_view(), TOKENS, float(second))
         assert chosen is not None
@@ -245,5 +245,5 @@
     """Under overload callers leave all chains, and each is better than none."""
     chooser = _chooser()
     for zone in "abc":
-        chooser.book.note_unheard(f"{zone}0", 0.0)
+        chooser.book.note_no_first_event(f"{zone}0", 0.0)
     assert chooser.choose(_view(), TOKENS, 0.1) is not None
--- a/tests/policy/test_pooled_load.py
+++ b/tests/policy/test_pooled_load.py
@@ -47,7 +47,7 @@
 def test_query_rate_does_not_grow_with_the_group(
     nodes: int, factor: float
 ) -> None:
-    assert pooled_load.question_gap(nodes) == factor
+    assert pooled_load.query_interval_factor(nodes) == factor
 
 
 @pytest.mark.parametrize(
@@ -69,7 +69,7 @@
 
     Load: two equal engines; half of a node's requests went to the first.
     """
-    book = engine_book.EngineBook()
+    book = engine_book.EngineTracker()
     for number in range(sent):
         here = "a" if number % 2 == 0 or nodes == 8 else "b"
         book.add((engine_book.UsedPart(here, 4),), 100.0)
@@ -90,7 +90,7 @@
     refused = 0
     for seed in range(40):
         chooser = path_choice.create_path_chooser(
-            engine_book.EngineBook(), random.Random(seed)
+            engine_book.EngineTracker(), random.Random(seed)
         )
         chooser.nodes = NODES
         for number in range(4):
@@ -111,7 +111,7 @@
     admitted = 0
     for seed in range(NODES):
         chooser = path_choice.create_path_chooser(
-            engine_book.EngineBook(), random.Random(seed)
+            engine_book.EngineTracker(), random.Random(seed)
         )
         chooser.nodes = NODES
         for number in range(60):
--- a/tests/policy/test_probe_timing.py
+++ b/tests/policy/test_probe_timing.py
@@ -20,7 +20,7 @@
     usual_s: float, events: int
 ) -> None:
     """Streams of a dead engine are late although others could take over."""
-    silent_s = probe_timing.patience_s(events, usual_s * (events - 1))
+    silent_s = probe_timing.silence_limit_s(events, usual_s * (events - 1))
     found_s = silent_s + stream_moves.CHECK_INTERVAL_S
     found_s += path_probe.SECOND_QUERY_S + path_probe.QUERY_TIMEOUT_S
     assert found_s < LATE_S
@@ -30,8 +30,8 @@
     ("events", "lasted_s", "limit_s"),
     [
         (0, 0.0, probe_timing.FIRST_SILENT_S),
-        (1, 0.0, probe_timing.LEAST_SILENT_S),
-        (11, 0.1, probe_timing.LEAST_SILENT_S),
+        (1, 0.0, probe_timing.MIN_SILENT_S),
+        (11, 0.1, probe_timing.MIN_SILENT_S),
         (11, 1.0, 0.2),
     ],
 )
@@ -39,7 +39,7 @@
     events: int, lasted_s: float, limit_s: float
 ) -> None:
     """With a fixed limit, streams on slow accelerators are always probed."""
-    found_s = probe_timing.patience_s(events, lasted_s)
+    found_s = probe_timing.silence_limit_s(events, lasted_s)
     assert found_s == pytest.approx(limit_s)
 
 
@@ -49,7 +49,7 @@
 ) -> None:
     """Probes of silent streams would permanently load a busy engine."""
     backoff = probe_timing.ProbeBackoff()
-    factor = pooled_load.question_gap(nodes)
+    factor = pooled_load.query_interval_factor(nodes)
     probes = 0
     for look in range(500):
         now = look * stream_moves.CHECK_INTERVAL_S
--- a/tests/policy/test_thousands_of_engines.py
+++ b/tests/policy/test_thousands_of_engines.py
@@ -38,7 +38,7 @@
     firsts = set()
     for seed in range(300):
         chooser = path_choice.create_path_chooser(
-            engine_book.EngineBook(), random.Random(seed)
+            engine_book.EngineTracker(), random.Random(seed)
         )
         chooser.nodes = 300
         chosen = chooser.choose(view, small.TOKENS, 0.0)
--- a/tests/relay/test_lost_engines.py
+++ b/tests/relay/test_lost_engines.py
@@ -159,7 +159,7 @@
     registry: Any = FakeCatalogue()
     seen: Any = FakeObserver()
     made = lost_engines.create_lost_engines(
-        network.ManualClock(), registry, engine_book.EngineBook(), seen
+        network.ManualClock(), registry, engine_book.EngineTracker(), seen
     )
     group = FakeGroup(already_published)
     joined: Any = group
--- a/tests/relay/test_path_probe.py
+++ b/tests/relay/test_path_probe.py
@@ -141,7 +141,7 @@
 
 
 class FakeMoves:
-    def __init__(self, book: engine_book.EngineBook) -> None:
+    def __init__(self, book: engine_book.EngineTracker) -> None:
         self.book = book
         self.runs: list[FakeRun] = []
 
@@ -175,7 +175,7 @@
 
 class FakeShared:
     def __init__(self) -> None:
-        self.book = engine_book.EngineBook()
+        self.book = engine_book.EngineTracker()
         self.paths = types.SimpleNamespace(nodes=1)
         self.clock = types.SimpleNamespace(monotonic=lambda: 0.0)
 
