--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -232,10 +232,10 @@
             catalogue.Decoders(decode.decode_config, decode.decode_engine),
             "config",
         )
-        self.known.take_config_row(
+        self.known.apply_config_row(
             row_feeds.FeedRow("config", config(), 1), verified=True
         )
-        self.book = engine_book.EngineBook()
+        self.book = engine_book.EngineTracker()
         self.paths = path_choice.create_path_chooser(
             self.book, random.Random(1)
         )
@@ -291,7 +291,7 @@
         row = row_feeds.FeedRow(
             engine.instance, entry(engine, number, state), self.revision
         )
-        self.known.take_engine_row(row, self.clock.monotonic(), FAR)
+        self.known.apply_engine_row(row, self.clock.monotonic(), FAR)
 
     def choose(self) -> path_choice.ChosenPath:
         """Chooses a path for a request."""
@@ -349,7 +349,7 @@
     node.choose()
     kept = []
     for _ in range(ARRIVALS):
-        node.paths.cached[SERVICE].at = node.clock.monotonic()
+        node.paths.cached[SERVICE].searched_at = node.clock.monotonic()
         kept.append(timed(node.choose))
     searched = []
     for _ in range(SEARCHES):
@@ -377,8 +377,8 @@
         for run in streams:
             assert run.attempt is not None
             run.attempt.active_at = now
-        node.watch.ask_again_at = 0.0
-        looks.append(timed(node.watch.look_at_all))
+        node.watch.next_engine_check_at = 0.0
+        looks.append(timed(node.watch.check_all))
     return {
         "event_us": statistics.median(costs) * US,
         "look_us": statistics.median(looks) * US,
@@ -419,7 +419,7 @@
             await asyncio.sleep(0)
         node.choose()
         costs.append(time.process_time() - start)
-        node.book.trust(lost)
+        node.book.clear_suspicion(lost)
     return {
         "fault_ms": statistics.median(costs) * MS,
         "moved_by_a_fault": moved / FAULTS,
--- a/src/almondshift/coordination/leaving.py
+++ b/src/almondshift/coordination/leaving.py
@@ -154,7 +154,9 @@
         self.former.pop(endpoint, None)
         self.listed.pop(endpoint, None)
 
-    def endpoint_said(self, endpoint: str, instance: str = "") -> None:
+    def endpoint_reported_leaving(
+        self, endpoint: str, instance: str = ""
+    ) -> None:
         """Records the endpoint's own report and notifies peers.
 
         Args:
@@ -170,7 +172,7 @@
         )
         self.publish_leaving(endpoint, present)
 
-    def vms_listed(self, vms: Iterable[endpoints.Vm]) -> None:
+    def update_vm_list(self, vms: Iterable[endpoints.Vm]) -> None:
         """Updates from the platform's list, which lags.
 
         A VM that is live in the list does not refute the other sources, since
--- a/src/almondshift/node/directory.py
+++ b/src/almondshift/node/directory.py
@@ -175,7 +175,7 @@
         self, endpoint: str, instance: str = ""
     ) -> None:
         """Records that an endpoint itself reported that it is leaving."""
-        self.leaving.endpoint_said(endpoint, instance)
+        self.leaving.endpoint_reported_leaving(endpoint, instance)
         self.notify_router_of_leaving()
 
     def note_move_from_leaving(self, endpoint: str) -> None:
@@ -249,7 +249,7 @@
         seen = {vm.name for vm in vms}
         for vm in vms:
             await self._update_vm(vm)
-        self.leaving.vms_listed(vms)
+        self.leaving.update_vm_list(vms)
         self.notify_router_of_leaving()
         for name in list(self.endpoints):
             if name in seen:
--- a/src/almondshift/relay/application.py
+++ b/src/almondshift/relay/application.py
@@ -57,11 +57,11 @@
 MEMBERSHIP_SETTINGS = peer_types.MembershipSettings(
     interval_s=1.0,
     call_timeout_s=0.4,
-    silent_beats=2,
-    spread_s=1.0,
-    seeds_s=1.0,
-    meeting_s=2.0,
-    beats_per_s=40.0,
+    suspect_after_heartbeats=2,
+    propagation_s=1.0,
+    seed_interval_s=1.0,
+    startup_s=2.0,
+    heartbeats_per_s=40.0,
 )
 """Addresses outside the group are tried every second, so that nodes that
 started during a store outage, or lost contact, find each other in seconds."""
@@ -137,7 +137,7 @@
         self.settings = settings
         self.ports = ports
         self.catalogue = catalogue.Catalogue(ports.decoders, ports.config_key)
-        self.book = engine_book.EngineBook()
+        self.book = engine_book.EngineTracker()
         self.feed = shared_feed.create_shared_feed(
             ports.feed, ports.clock, ports.rng
         )
@@ -350,7 +350,7 @@
     ) -> None:
         """Applies rows of the operators' configuration table."""
         for row in rows:
-            self.catalogue.take_config_row(row, verified)
+            self.catalogue.apply_config_row(row, verified)
 
     def apply_engines(
         self, rows: list[row_feeds.FeedRow], verified: bool
@@ -359,7 +359,7 @@
         del verified
         now = self.ports.clock.monotonic()
         for row in rows:
-            self.catalogue.take_engine_row(
+            self.catalogue.apply_engine_row(
                 row, now, self.engine_watch.outage_ended_at
             )
 
--- a/src/almondshift/relay/path_probe.py
+++ b/src/almondshift/relay/path_probe.py
@@ -32,7 +32,7 @@
     from almondshift.relay import stream_moves
     from almondshift.relay import stream_run
 
-ANSWER_S = 0.05
+QUERY_TIMEOUT_S = 0.05
 """Time-out of a query, in seconds; live engines in the region answer within
 milliseconds."""
 
@@ -81,7 +81,7 @@
         due = [b for b in map(self.backoff, parts) if b.is_due(now)]
         if not due:
             return
-        factor = pooled_load.question_gap(self.shared.paths.nodes)
+        factor = pooled_load.query_interval_factor(self.shared.paths.nodes)
         for backoff in due:
             backoff.note_probe(now, factor)
         self.work.run(self.probe(parts))
@@ -113,7 +113,7 @@
         silent = [
             (run, attempt)
             for run, attempt in present
-            if now - attempt.active_at >= probe_timing.LEAST_SILENT_S
+            if now - attempt.active_at >= probe_timing.MIN_SILENT_S
             and now - attempt.active_at >= silence_limit_s(run)
         ]
         if not silent:
@@ -183,7 +183,7 @@
             return
         if not is_peer_report and not await self.is_own_link_up():
             return
-        limit_s = SECOND_QUERY_S + 2 * ANSWER_S + MAX_OVERRUN_S
+        limit_s = SECOND_QUERY_S + 2 * QUERY_TIMEOUT_S + MAX_OVERRUN_S
         if self.loop.time() - self.started_at > limit_s:
             return
         self.moves.engine_lost(part.instance, engine_book.Suspicion.UNREACHABLE)
@@ -209,7 +209,7 @@
     async def query(self, part: relayed.PathPart) -> bool:
         """Queries an engine; records its pace if it answers."""
         report = await self.questions.report(
-            part.instance, part.address, ANSWER_S
+            part.instance, part.address, QUERY_TIMEOUT_S
         )
         if report is None:
             return False
@@ -228,7 +228,7 @@
             ):
                 return True
         try:
-            async with asyncio.timeout(ANSWER_S):
+            async with asyncio.timeout(QUERY_TIMEOUT_S):
                 await self.answered.wait()
         except TimeoutError:
             return False
@@ -237,6 +237,6 @@
 
 def silence_limit_s(run: stream_run.StreamRun) -> float:
     """Returns the silence of a stream that starts a round, in seconds."""
-    return probe_timing.patience_s(
+    return probe_timing.silence_limit_s(
         run.events_sent, run.progress_at - run.first_at
     )
--- a/tests/coordination/test_leaving.py
+++ b/tests/coordination/test_leaving.py
@@ -25,11 +25,11 @@
 
 
 def listed(state: endpoints.VmState) -> Callable[..., None]:
-    return lambda known: known.vms_listed([vm(state)])
+    return lambda known: known.update_vm_list([vm(state)])
 
 
 def reported(instance: str) -> Callable[..., None]:
-    return lambda known: known.endpoint_said("e", instance)
+    return lambda known: known.endpoint_reported_leaving("e", instance)
 
 
 def seen(instance: str) -> Callable[..., None]:
@@ -52,7 +52,7 @@
 
 LIVE = listed(endpoints.VmState.LIVE)
 LISTED_LEAVING = listed(endpoints.VmState.LEAVING)
-GONE: Callable[..., None] = lambda known: known.vms_listed([])  # noqa: E731
+GONE: Callable[..., None] = lambda known: known.update_vm_list([])  # noqa: E731
 
 
 @pytest.mark.parametrize(
@@ -118,9 +118,9 @@
             node.subscribe(peers.FactKind.LEAVING, known.fact_changed)
             known.instance_seen("e", "i1")
             sets[node.node.name] = known
-        sets["node-4"].endpoint_said("e", "i1")
+        sets["node-4"].endpoint_reported_leaving("e", "i1")
         for known in sets.values():
-            known.vms_listed([vm(endpoints.VmState.LIVE)])
+            known.update_vm_list([vm(endpoints.VmState.LIVE)])
         rounds = await cluster.run_until(
             lambda: all(known.is_leaving("e") for known in sets.values()),
             LIST_LAG_S,
@@ -137,10 +137,10 @@
         clock, lambda kind, key, value, ttl_s: published.append(key)
     )
     for _ in range(10):
-        known.endpoint_said("e", "i1")
+        known.endpoint_reported_leaving("e", "i1")
     assert published == ["e"]
     clock.now += leaving.REPUBLISH_AFTER_S
-    known.endpoint_said("e", "i1")
+    known.endpoint_reported_leaving("e", "i1")
     assert published == ["e", "e"]
 
 
@@ -189,7 +189,7 @@
     @stateful.rule(lag=st.integers(0, 3))
     def list_vms(self, lag: int) -> None:
         index = max(0, len(self.history) - 1 - lag)
-        self.known.vms_listed([vm(self.history[index])])
+        self.known.update_vm_list([vm(self.history[index])])
 
     @stateful.rule()
     def report(self) -> None:
@@ -197,13 +197,13 @@
         name = f"i{self.instance}"
         self.known.instance_seen("e", name)
         if self.is_leaving:
-            self.known.endpoint_said("e", name)
+            self.known.endpoint_reported_leaving("e", name)
             self.was_reported = True
 
     @stateful.precondition(lambda self: self.is_leaving)
     @stateful.rule()
     def refuse_to_peer(self) -> None:
-        self.peer_node.endpoint_said("e", f"i{self.instance}")
+        self.peer_node.endpoint_reported_leaving("e", f"i{self.instance}")
 
     @stateful.precondition(lambda self: self.reports)
     @stateful.rule(data=st.data())
@@ -223,7 +223,7 @@
     @stateful.rule()
     def settle(self) -> None:
         """With an up-to-date list and a fresh report, the state is right."""
-        self.known.vms_listed([vm(self.history[-1])])
+        self.known.update_vm_list([vm(self.history[-1])])
         self.report()
         assert self.known.is_leaving("e") is self.is_leaving
 
--- a/tests/relay/test_layer_keeper.py
+++ b/tests/relay/test_layer_keeper.py
@@ -106,7 +106,7 @@
         )
         self.known = catalogue.Catalogue(decoders, "config")
         config = json.dumps(standin_system.config()).encode()
-        self.known.take_config_row(
+        self.known.apply_config_row(
             row_feeds.FeedRow("config", config, 1), verified=True
         )
         self.revision = 1
@@ -114,7 +114,7 @@
             clock=self.clock,
             catalogue=self.known,
             engines=self.engines,
-            book=engine_book.EngineBook(),
+            book=engine_book.EngineTracker(),
         )
         self.keeper = layer_keeper.create_layer_keeper(
             cast("context.RelayContext", shared),
@@ -144,7 +144,7 @@
     def apply_row(self, instance: str, value: bytes | None) -> None:
         self.revision += 1
         row = row_feeds.FeedRow(instance, value, self.revision)
-        self.known.take_engine_row(row, self.clock.now, AWAY)
+        self.known.apply_engine_row(row, self.clock.now, AWAY)
 
     async def run(self, seconds: float) -> None:
         """Runs the layer keeper for some virtual time."""
