--- a/tests/scenarios/conftest.py
+++ b/tests/scenarios/conftest.py
@@ -21,7 +21,7 @@
 
 @pytest.fixture
 def world(tmp_path: pathlib.Path) -> Iterator[worlds.World]:
-    """Yields a system that is not started; ends its processes after."""
+    """Yields a system that is not started yet; stops its processes later."""
     loop = asyncio.new_event_loop()
     asyncio.set_event_loop(loop)
     with processes.running(tmp_path) as runner:
@@ -34,7 +34,7 @@
 
 
 def check_logs(runner: processes.ProcessRunner) -> None:
-    """Fails if a process logged a fault that no caller has seen."""
+    """Fails if a process logged a traceback, even if no caller noticed."""
     for process in runner.processes.values():
         assert "Traceback" not in process.log_file.read_text(), process.log()
 
@@ -85,14 +85,14 @@
 
 @then(parsers.parse("{name} has the right answer"))
 def right_answer(world: worlds.World, name: str) -> None:
-    world.check_right(name)
+    world.check_answer(name)
 
 
 @then(
     parsers.parse("{name} waited less than {seconds:d} seconds for any token")
 )
 def short_gaps(world: worlds.World, name: str, seconds: int) -> None:
-    """Fails if a recovery hung; the bound is far over what one takes."""
+    """Fails if a recovery hung; the limit far exceeds a normal recovery."""
     arrivals = world.answer(name).arrivals
     longest = max(b - a for a, b in itertools.pairwise(arrivals))
     assert longest < seconds
--- a/tests/scenarios/datapath/bad_requests.py
+++ b/tests/scenarios/datapath/bad_requests.py
@@ -1,4 +1,4 @@
-"""Requests that a node must refuse, by the names in features."""
+"""Requests that a node must refuse, by their names in feature files."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 COMPLETIONS = "/v1/completions"
 PORTAL = "/v1/services/portal/pause"
-OVER_BODY_LIMIT = 1_000_001
+OVERSIZE_BODY_BYTES = 1_000_001
 CHUNK = b" " * 50_000
 NO_ANSWER = 599
-ENDLESS = 1_000
+ENDLESS_CHUNKS = 1_000
 TIMEOUT_S = 15.0
 
 
@@ -29,7 +29,7 @@
     """A raw request.
 
     Attributes:
-        chunks: Chunks to send after ``body``; then no length is announced.
+        chunks: Chunks sent after ``body``; if set, without Content-Length.
     """
 
     path: str = COMPLETIONS
@@ -42,7 +42,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RawAnswer:
-    """What came back."""
+    """A raw response."""
 
     status: int
     content_type: str
@@ -56,17 +56,17 @@
 
 
 def completion(**changes: Any) -> bytes:
-    """Returns a body that is right but for the changes."""
+    """Returns a valid body with the given changes."""
     body = {"model": "chat", "prompt": [1, 2, 3], "max_tokens": 4}
     return json.dumps({**body, **changes}).encode()
 
 
-RIGHT = completion()
+VALID_COMPLETION = completion()
 
 BAD_REQUESTS = {
-    "no key": BadRequest(body=RIGHT, key=""),
-    "a wrong key": BadRequest(body=RIGHT, key="no-such-key"),
-    "half a JSON object": BadRequest(body=RIGHT[:-5]),
+    "no key": BadRequest(body=VALID_COMPLETION, key=""),
+    "a wrong key": BadRequest(body=VALID_COMPLETION, key="no-such-key"),
+    "half a JSON object": BadRequest(body=VALID_COMPLETION[:-5]),
     "a body that is no JSON": BadRequest(body=b"\xff\xfe\x00"),
     "an empty body": BadRequest(body=b""),
     "a JSON list": BadRequest(body=b"[]"),
@@ -85,13 +85,17 @@
     ),
     "a model service by path": BadRequest(path="/v1/services/chat/x"),
     "an unknown plain service": BadRequest(path="/v1/services/nobody/x"),
-    "a body over the limit": BadRequest(body=b" " * OVER_BODY_LIMIT),
-    "a chunked body over the limit": BadRequest(body=RIGHT, chunks=21),
-    "a body that has no end": BadRequest(body=RIGHT, chunks=ENDLESS),
+    "a body over the limit": BadRequest(body=b" " * OVERSIZE_BODY_BYTES),
+    "a chunked body over the limit": BadRequest(
+        body=VALID_COMPLETION, chunks=21
+    ),
+    "a body that has no end": BadRequest(
+        body=VALID_COMPLETION, chunks=ENDLESS_CHUNKS
+    ),
     "a plain body over the limit": BadRequest(
         path=PORTAL,
         headers={"Idempotency-Key": "k1"},
-        body=b" " * OVER_BODY_LIMIT,
+        body=b" " * OVERSIZE_BODY_BYTES,
     ),
     "no Idempotency-Key for a completion": BadRequest(
         body=completion(model="once")
@@ -101,13 +105,13 @@
         path=PORTAL, headers={"Idempotency-Key": "k" * 201}, body=b"{}"
     ),
     "a deadline that is past": BadRequest(
-        headers={"Request-Deadline": "0"}, body=RIGHT
+        headers={"Request-Deadline": "0"}, body=VALID_COMPLETION
     ),
     "a deadline before 1970": BadRequest(
-        headers={"Request-Deadline": "-5"}, body=RIGHT
+        headers={"Request-Deadline": "-5"}, body=VALID_COMPLETION
     ),
     "a deadline that is no number": BadRequest(
-        headers={"Request-Deadline": "soon"}, body=RIGHT
+        headers={"Request-Deadline": "soon"}, body=VALID_COMPLETION
     ),
     "a past deadline for a call": BadRequest(
         path=PORTAL,
@@ -141,7 +145,7 @@
 async def send(
     client: httpclient.AsyncHTTPClient, address: str, wanted: BadRequest
 ) -> RawAnswer:
-    """Sends a request as it is and returns what came."""
+    """Sends a request unmodified and returns the response."""
     headers = dict(wanted.headers)
     if wanted.key:
         headers["Authorization"] = f"Bearer {wanted.key}"
--- a/tests/scenarios/datapath/conftest.py
+++ b/tests/scenarios/datapath/conftest.py
@@ -1,4 +1,4 @@
-"""Steps of scenarios of the data path; they share a started system."""
+"""Steps for data-path scenarios, which share a running system."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
     from collections.abc import Iterator
     import pathlib
 
-TOKENS = 30
-PROMPT = 100
-LONG_PROMPT = 320
+ANSWER_TOKENS = 30
+PROMPT_TOKENS = 100
+LONG_PROMPT_TOKENS = 320
 FIRST_TOKENS = 6
 
 
@@ -31,7 +31,7 @@
 def shared(
     tmp_path_factory: pytest.TempPathFactory,
 ) -> Iterator[tuple[paths.PathSystem, asyncio.AbstractEventLoop]]:
-    """Yields a system that the scenarios of a module share."""
+    """Yields a system shared by the scenarios of a module."""
     loop = asyncio.new_event_loop()
     asyncio.set_event_loop(loop)
     folder = tmp_path_factory.mktemp("path")
@@ -54,7 +54,7 @@
 def world(
     shared: tuple[paths.PathSystem, asyncio.AbstractEventLoop],
 ) -> Iterator[paths.PathWorld]:
-    """Yields a scenario's world; ends its faults and requests after."""
+    """Yields a scenario's world; then ends its faults and requests."""
     system, loop = shared
     world = paths.PathWorld(system, loop)
     yield world
@@ -73,13 +73,13 @@
 
 @when(parsers.parse("{name} asks for an answer"))
 def ask(world: paths.PathWorld, name: str) -> None:
-    world.note_places()
-    world.ask(name, TOKENS, PROMPT)
+    world.record_stages()
+    world.ask(name, ANSWER_TOKENS, PROMPT_TOKENS)
 
 
 @when(parsers.parse("{name} asks for an answer to a long prompt"))
 def ask_long(world: paths.PathWorld, name: str) -> None:
-    world.ask(name, TOKENS, LONG_PROMPT)
+    world.ask(name, ANSWER_TOKENS, LONG_PROMPT_TOKENS)
 
 
 @when(parsers.parse("the {stage} stage of {name} is in {phase}"))
@@ -102,7 +102,7 @@
 ) -> None:
     engine = world.wait_stage(name, stage)
     faults.inject(world, engine, fault)
-    world.release_stages(but=engine if fault in faults.SILENT else "")
+    world.release_stages(but=engine if fault in faults.MUTING else "")
 
 
 @when(parsers.parse("{name} has received {count:d} more tokens"))
--- a/tests/scenarios/datapath/faults.py
+++ b/tests/scenarios/datapath/faults.py
@@ -1,4 +1,4 @@
-"""Faults of one engine or of the link to it, by the names in features."""
+"""Faults of one engine or its link, by their names in feature files."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 PAUSE_S = 1.0
 IN_FLIGHT_S = 0.25
-"""Held back for so long, a step is in flight: longer than a token takes, and
-shorter than the limit of a step."""
+"""Delay after which a step is in flight: longer than a token takes and
+shorter than the step timeout."""
 
 TRICKLE_BYTES_S = 100
 
 
 def inject(world: paths.PathWorld, engine: str, fault: str) -> None:
-    """Brings about a fault that lasts until the scenario ends."""
+    """Injects a fault, which lasts until the scenario ends."""
     FAULTS[fault](world, engine)
 
 
@@ -44,7 +44,7 @@
     proxy = world.system.proxies[engine]
     proxy.silent.add(proxies.Direction.UP)
     if world.notes.get("phase") == "decode":
-        # The answer that is held back brings the step that is cut.
+        # The held response triggers the step that is cut.
         world.release_stages()
     world.run(asyncio.sleep(IN_FLIGHT_S))
     proxy.cut()
@@ -104,13 +104,13 @@
     "cut after a run": cut_after_run,
     "cut off": cut_off,
     "not reached by requests": hold_requests,
-    "not heard": hold_answers,
-    "not heard for 1 s": hold_answers_once,
+    "muted": hold_answers,
+    "muted for 1 s": hold_answers_once,
     "swallowing answers": swallow,
     "closing after a run": swallow_and_close,
     "trickling": trickle,
     "crossing answers": cross,
 }
 
-SILENT = frozenset({"not heard"})
-"""Faults that hold answers back until the scenario ends."""
+MUTING = frozenset({"muted"})
+"""Faults that hold responses back until the scenario ends."""
--- a/tests/scenarios/datapath/paths.py
+++ b/tests/scenarios/datapath/paths.py
@@ -1,4 +1,4 @@
-"""A system whose engines stand behind fault proxies, for many scenarios."""
+"""A system with fault proxies before its engines, for many scenarios."""
 
 from __future__ import annotations
 
@@ -19,24 +19,24 @@
     import pathlib
 
 STAGES = 3
-FIRST_MARK = 10_000
+FIRST_MARKER_TOKEN = 10_000
 PROMPT_TOKENS = 12
-WORD = 7
+FILLER_TOKEN = 7
 
 
 class PathSystem(systems.RealSystem):
     """A real system with a proxy between the nodes and each engine.
 
     Attributes:
-        proxies: Proxies by engine; nodes know only their addresses.
-        shapes: What each engine was started with, to start it again.
-        vm_lag_s: Lag of the platform's VM list, to be set before ``start``.
-        listed_leaving: Engines that only the list says are leaving; only a
-            new instance of such an engine is used again.
-        tasks: Faults that wait for their moment.
+        proxies: Proxies by engine; nodes know only the proxy addresses.
+        shapes: The shape of each engine, to restart it.
+        vm_lag_s: Lag of the platform's VM list; set before ``start``.
+        listed_leaving: Engines that are leaving only according to the VM
+            list; such an engine is used again only after a restart.
+        tasks: Faults that are scheduled but not injected yet.
         full_backlogs: Sockets that listen in place of proxies.
-        unusable: Engines that a node could not use at the last look, by
-            node and engine, with what the node said of them.
+        unusable: Engines that a node could not use at the last check, by
+            node and engine, with the node's status row of the engine.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
         self.unusable: dict[tuple[str, str], object] = {}
 
     async def start_platform(self, *arguments: str) -> None:
-        """Starts the platform with a VM list that lags."""
+        """Starts the platform with a lagging VM list."""
         lag = ("--vm-lag-s", str(self.vm_lag_s))
         await super().start_platform(*arguments, *lag)
 
@@ -128,11 +128,11 @@
         return {**self.engines, **self.plain}[name].address
 
     def ledger_path(self, engine: str) -> pathlib.Path:
-        """Returns the file that outlives the engine."""
+        """Returns the path of the ledger file, which outlives the engine."""
         return self.folder / f"{engine}.ledger"
 
     def runs(self) -> list[ledgers.Run]:
-        """Returns what really ran on all engines, also on killed ones."""
+        """Returns what actually ran on all engines, including killed ones."""
         return [
             run
             for name in self.engines
@@ -140,7 +140,7 @@
         ]
 
     async def heal(self) -> None:
-        """Ends all faults and waits until the system is whole again."""
+        """Ends all faults and waits until the system has recovered."""
         while self.tasks:
             self.tasks.pop().cancel()
         while self.full_backlogs:
@@ -156,12 +156,12 @@
             if not engine.is_running():
                 await self.start_engine(self.shapes[name])
         for name in self.engines:
-            await self.control(name, **NO_FAULTS)
+            await self.control(name, **NO_ENGINE_FAULTS)
         for name in self.plain:
             await self.control(name, **NO_PLAIN_FAULTS)
         self.listed_leaving.clear()
         await self._restart_nodes()
-        await self.wait_whole()
+        await self.wait_recovered()
 
     async def _restart_nodes(self) -> None:
         dead = [n for n, node in self.nodes.items() if not node.is_running()]
@@ -173,12 +173,12 @@
             self.callers.clear()
 
     async def start(self, **options: Any) -> None:
-        """Starts all and waits until every engine can take a stage."""
+        """Starts everything and waits until every engine can serve a stage."""
         await super().start(**options)
-        await self.wait_whole()
+        await self.wait_recovered()
 
-    async def wait_whole(self) -> None:
-        """Waits until all engines hold layers and the nodes know it."""
+    async def wait_recovered(self) -> None:
+        """Waits until all engines hold layers and all nodes know it."""
         await self.wait_for(self._engines_hold, "all engines hold layers")
         await self.wait_for(
             self._nodes_know,
@@ -216,7 +216,7 @@
     return any(holding["ready"] for holding in row["holdings"])
 
 
-NO_FAULTS = {
+NO_ENGINE_FAULTS = {
     "crash_token": None,
     "slow_factor": 1.0,
     "swallow_answers": 0,
@@ -251,48 +251,51 @@
 
 
 class PathWorld(worlds.World):
-    """One scenario on a system that others used before.
+    """One scenario on a shared system.
 
     Attributes:
         system: The system, which outlives the scenario.
     """
 
     system: PathSystem
-    marks = itertools.count(FIRST_MARK)
+    marker_tokens = itertools.count(FIRST_MARKER_TOKEN)
 
     def ask(
         self, name: str, count: int, prompt_tokens: int, **options: Any
     ) -> worlds.Request:
-        """Sends a completion whose first prompt token is its own."""
-        prompt = [next(self.marks), *[WORD] * (prompt_tokens - 1)]
+        """Sends a completion with a unique first prompt token."""
+        prompt = [
+            next(self.marker_tokens),
+            *[FILLER_TOKEN] * (prompt_tokens - 1),
+        ]
         return self.send(name, count, prompt=prompt, **options)
 
     def runs(self, name: str) -> list[ledgers.Run]:
-        """Returns what engines ran for a request."""
-        return self.runs_of_mark(self.requests[name].prompt[0])
+        """Returns the engine runs of a request."""
+        return self.runs_of_marker(self.requests[name].prompt[0])
 
-    def runs_of_mark(self, mark: int) -> list[ledgers.Run]:
+    def runs_of_marker(self, marker: int) -> list[ledgers.Run]:
         """Finds a request in the ledgers by its first prompt token."""
         runs = self.system.runs()
         begun = {
             run.request_id
             for run in runs
-            if (run.start, run.position, run.first_input) == (0, 0, mark)
+            if (run.start, run.position, run.first_input) == (0, 0, marker)
         }
         return [run for run in runs if run.request_id in begun]
 
     def stage_of(self, name: str, stage: str) -> str:
-        """Returns the engine that now runs a stage, or an empty string."""
+        """Returns the engine that currently runs a stage, or ``""``."""
         latest = ""
         epoch = -1
         for run in self.runs(name):
-            if place_of(run) == stage and run.epoch >= epoch:
+            if stage_position(run) == stage and run.epoch >= epoch:
                 latest, epoch = run.engine, run.epoch
         return latest
 
     def sessions_of(self, name: str, stage: str) -> list[ledgers.Session]:
         """Returns the sessions that ran a stage, or a part of it."""
-        runs = [run for run in self.runs(name) if place_of(run) == stage]
+        runs = [run for run in self.runs(name) if stage_position(run) == stage]
         return ledgers.sessions(runs)
 
     def wait_stage(self, name: str, stage: str) -> str:
@@ -305,7 +308,7 @@
         return self.stage_of(name, stage)
 
     def wait_positions(self, name: str, stage: str, count: int) -> None:
-        """Waits until a stage has run so many positions."""
+        """Waits until a stage has run ``count`` positions."""
 
         async def enough() -> bool:
             found = self.sessions_of(name, stage)
@@ -320,25 +323,25 @@
         positions = len(request.prompt) + request.count - 1
         ledgers.check(self.runs(name), systems.LAYERS, positions)
 
-    def note_places(self) -> None:
-        """Remembers which engines hold which stage, for ``hold_stage``."""
-        self.notes["places"] = self.run(self._places())
+    def record_stages(self) -> None:
+        """Records which engines hold which stage, for ``hold_stage``."""
+        self.notes["places"] = self.run(self._engine_positions())
 
-    async def _places(self) -> dict[str, str]:
+    async def _engine_positions(self) -> dict[str, str]:
         found = {}
         for name in self.system.engines:
             report = await self.system.load(name)
             held = report["holdings"][0]
-            found[name] = place_between(held["start"], held["end"])
+            found[name] = range_position(held["start"], held["end"])
         return found
 
     def hold_stage_at(self, name: str, stage: str, count: int) -> None:
-        """Holds a stage's answers back once so many tokens have come.
+        """Holds a stage's responses back once ``count`` tokens have arrived.
 
-        All answers of engines pass through this process, which therefore
-        sees the token before engines get on by more than a step or two. A
-        look at the tokens from outside comes later the busier the machine
-        is, and the request could end before the fault.
+        All engine responses pass through this process, so it sees the token
+        before the engines advance by more than a step or two. Polling for the
+        tokens would lag on a busy machine, and the request could end before
+        the fault is injected.
         """
         request = self.requests[name]
 
@@ -350,10 +353,10 @@
         self.run(hold())
 
     def hold_stage(self, stage: str) -> None:
-        """Holds a stage's answers back until a fault is brought about.
+        """Holds a stage's responses back until a fault is injected.
 
-        Its first part has run then and is not answered, however slow the
-        machine is; without this the request could end before the fault.
+        Its first part has then run but is not answered, however slow the
+        machine is; otherwise the request could end before the fault.
         """
         for engine, place in self.notes["places"].items():
             if place == stage:
@@ -361,18 +364,18 @@
                 silent.add(proxies.Direction.DOWN)
 
     def release_stages(self, but: str = "") -> None:
-        """Lets held answers go on, but those of one engine."""
+        """Releases held responses, except those of one engine."""
         for engine in self.notes.get("places", ()):
             if engine != but:
                 silent = self.system.proxies[engine].silent
                 silent.discard(proxies.Direction.DOWN)
 
-    def note_executions(self) -> None:
-        """Remembers what ran so far, for ``check_no_executions``."""
+    def record_executions(self) -> None:
+        """Records what ran so far, for ``check_no_executions``."""
         self.notes["executions"] = self.run(self._executions())
 
     def check_no_executions(self) -> None:
-        """Checks that nothing ran on any endpoint since."""
+        """Checks that nothing ran since ``record_executions``."""
         assert self.run(self._executions()) == self.notes["executions"]
 
     async def _executions(self) -> dict[str, int]:
@@ -384,19 +387,19 @@
         return counts
 
     def end(self) -> None:
-        """Drops what still runs, for the next scenario."""
+        """Cancels running requests before the next scenario."""
         for request in self.requests.values():
             request.task.cancel()
         self.run(asyncio.sleep(0))
 
 
-def place_of(run: ledgers.Run) -> str:
-    """Returns where in the chain an item ran."""
-    return place_between(run.start, run.end)
+def stage_position(run: ledgers.Run) -> str:
+    """Returns the chain position at which an item ran."""
+    return range_position(run.start, run.end)
 
 
-def place_between(start: int, end: int) -> str:
-    """Returns where in the chain a layer range is."""
+def range_position(start: int, end: int) -> str:
+    """Returns the chain position of a layer range."""
     if start == 0:
         return "first"
     return "last" if end == systems.LAYERS else "middle"
--- a/tests/scenarios/datapath/raw_callers.py
+++ b/tests/scenarios/datapath/raw_callers.py
@@ -1,4 +1,4 @@
-"""Callers over bare sockets: they can stop reading or go away."""
+"""Callers on raw sockets, which can stop reading or disconnect."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 RECEIVE_BUFFER = 4096
 END = b"data: [DONE]"
-READ_S = 30.0
+READ_TIMEOUT_S = 30.0
 
 
 class RawCaller:
-    """One request on one connection; reads only when told to."""
+    """One request on one connection; reads only on request."""
 
     def __init__(self, address: str, **body: Any) -> None:
         host, _, port = address.rpartition(":")
@@ -27,10 +27,10 @@
         self.socket.sendall(encode(body))
 
     async def read_to_end(self) -> bytes:
-        """Reads until the stream's end or the connection's."""
+        """Reads until the stream or the connection ends."""
         reader, writer = await asyncio.open_connection(sock=self.socket)
         received = b""
-        async with asyncio.timeout(READ_S):
+        async with asyncio.timeout(READ_TIMEOUT_S):
             while END not in received:
                 chunk = await reader.read(RECEIVE_BUFFER)
                 if not chunk:
@@ -40,7 +40,7 @@
         return received
 
     def close(self) -> None:
-        """Goes away."""
+        """Disconnects."""
         self.socket.close()
 
 
--- a/tests/scenarios/datapath/test_execution_truth.py
+++ b/tests/scenarios/datapath/test_execution_truth.py
@@ -17,8 +17,8 @@
 scenarios("../features/execution_truth.feature")
 
 BODY = b'{"pause": true}' * 100
-AGAIN_MS = 5000
-PROMPT = 40
+RETRY_DEADLINE_MS = 5000
+PROMPT_TOKENS = 40
 
 
 @given("a plain service slip, which is not idempotent, behind a proxy")
@@ -35,10 +35,10 @@
 
 @when(parsers.re("slip (?P<trouble>.*)"))
 def trouble(world: paths.PathWorld, trouble: str) -> None:
-    world.run(troubles.bring_about(world.system, trouble))
+    world.run(troubles.inject(world.system, trouble))
 
 
-@when("the link and the service slip are well again")
+@when("the link to slip and the service are healthy again")
 def heal(world: paths.PathWorld) -> None:
     world.run(world.system.heal())
 
@@ -50,13 +50,15 @@
 
 @when(parsers.parse("{name} sends the same again"))
 def call_again(world: paths.PathWorld, name: str) -> None:
-    world.notes[f"{name} again"] = send(world, name, AGAIN_MS)
+    world.notes[f"{name} again"] = send(world, name, RETRY_DEADLINE_MS)
 
 
 def send(
     world: paths.PathWorld, name: str, deadline_ms: int
 ) -> http_caller.CallerAnswer:
-    key = world.notes.setdefault(f"key of {name}", f"k{next(world.marks)}")
+    key = world.notes.setdefault(
+        f"key of {name}", f"k{next(world.marker_tokens)}"
+    )
     caller = world.run(world.system.caller())
     return world.run(
         caller.call(
@@ -92,7 +94,7 @@
         world.run(world.system.control(engine, slow_factor=factor))
 
 
-@when("the engines are as fast as ever")
+@when("the engines are as fast as before")
 def fast_engines(world: paths.PathWorld) -> None:
     slow_engines(world, 1)
 
@@ -108,7 +110,7 @@
     world.ask(
         name,
         count,
-        PROMPT,
+        PROMPT_TOKENS,
         service="once",
         deadline_ms=deadline_ms,
         idempotency_key=f"key of {name}",
@@ -141,10 +143,10 @@
 
 @then(parsers.parse("engines ran {name}'s request once"))
 def ran_once(world: paths.PathWorld, name: str) -> None:
-    mark = world.requests[name].prompt[0]
+    marker = world.requests[name].prompt[0]
     begun = [
         run.request_id
         for run in world.system.runs()
-        if (run.start, run.position, run.first_input) == (0, 0, mark)
+        if (run.start, run.position, run.first_input) == (0, 0, marker)
     ]
     assert len(begun) == 1, begun
--- a/tests/scenarios/datapath/test_own_answer.py
+++ b/tests/scenarios/datapath/test_own_answer.py
@@ -18,15 +18,15 @@
 
 scenarios("../features/own_answer.feature")
 
-TOKENS = 20
-SHORT_PROMPT = 8
-LONG_PROMPT = 200
-LONG_ANSWER = 300
+ANSWER_TOKENS = 20
+SHORT_PROMPT_TOKENS = 8
+LONG_PROMPT_TOKENS = 200
+LONG_ANSWER_TOKENS = 300
 CROSSED_CALLS = 4
 MAX_REFUSALS = 10
-REFUSED_WAIT_S = 0.5
-FAST = 0.1
-GONE_S = 1.0
+RETRY_DELAY_S = 0.5
+FAST_FACTOR = 0.1
+CANCEL_LIMIT_S = 1.0
 STAGES = ["first", "middle", "last"]
 PAGE_BYTES = 4096
 
@@ -34,7 +34,7 @@
 @when(parsers.parse("{count:d} callers ask for answers"))
 def ask_many(world: paths.PathWorld, count: int) -> None:
     for index in range(count):
-        world.ask(f"caller {index}", TOKENS, SHORT_PROMPT + index)
+        world.ask(f"caller {index}", ANSWER_TOKENS, SHORT_PROMPT_TOKENS + index)
 
 
 @when(parsers.parse("all callers have received {count:d} tokens"))
@@ -44,7 +44,7 @@
         for _ in range(MAX_REFUSALS):
             if not is_refused(world, name):
                 break
-            ask_again(world, name)
+            retry(world, name)
             world.wait_tokens(name, count)
 
 
@@ -53,11 +53,11 @@
     return task.done() and task.result().execution == "not_run"
 
 
-def ask_again(world: paths.PathWorld, name: str) -> None:
-    """Does as the refusal says: the node may still count former faults."""
+def retry(world: paths.PathWorld, name: str) -> None:
+    """Retries after a refusal; the node may still count earlier faults."""
     refused = world.requests[name]
     assert refused.task.result().kind == "overloaded"
-    world.run(asyncio.sleep(REFUSED_WAIT_S))
+    world.run(asyncio.sleep(RETRY_DELAY_S))
     world.send(name, refused.count, prompt=refused.prompt)
 
 
@@ -84,7 +84,7 @@
 @then("all callers have their right answers")
 def all_right(world: paths.PathWorld) -> None:
     for name in world.requests:
-        world.check_right(name)
+        world.check_answer(name)
 
 
 @then("every layer ran once and in order for all callers")
@@ -96,19 +96,19 @@
 @when(parsers.parse("ann's {kind} request is in {phase}"))
 def begin_raw(world: paths.PathWorld, kind: str, phase: str) -> None:
     world.run(world.system.wait_for(lambda: no_sessions(world), "no sessions"))
-    mark = next(world.marks)
+    marker = next(world.marker_tokens)
     caller = raw_callers.RawCaller(
         world.system.nodes["n1"].address,
-        prompt=[mark, *[1] * LONG_PROMPT],
-        max_tokens=LONG_ANSWER,
+        prompt=[marker, *[1] * LONG_PROMPT_TOKENS],
+        max_tokens=LONG_ANSWER_TOKENS,
         stream=kind == "streamed",
     )
     world.notes["ann"] = caller
-    least = 1 if phase == "prefill" else LONG_PROMPT + 10
+    min_position = 1 if phase == "prefill" else LONG_PROMPT_TOKENS + 10
 
     async def begun() -> bool:
-        runs = world.runs_of_mark(mark)
-        return any(run.stop >= least for run in runs)
+        runs = world.runs_of_marker(marker)
+        return any(run.stop >= min_position for run in runs)
 
     world.run(world.system.wait_for(begun, f"ann's {phase}"))
 
@@ -121,14 +121,14 @@
     return not any(counts)
 
 
-@when("ann goes away")
-def go_away(world: paths.PathWorld) -> None:
+@when("ann disconnects")
+def disconnect(world: paths.PathWorld) -> None:
     world.notes["ann"].close()
 
 
 @then("no engine has a session 1 s later")
 def sessions_gone(world: paths.PathWorld) -> None:
-    world.run(asyncio.sleep(GONE_S))
+    world.run(asyncio.sleep(CANCEL_LIMIT_S))
     assert world.run(no_sessions(world))
 
 
@@ -139,7 +139,7 @@
 )
 def ask_unread(world: paths.PathWorld, count: int, tokens: int) -> None:
     for engine in world.system.engines:
-        world.run(world.system.control(engine, slow_factor=FAST))
+        world.run(world.system.control(engine, slow_factor=FAST_FACTOR))
     node = world.system.nodes["n1"]
     world.notes["resident"] = resident_bytes(node.pid)
     world.notes["unread"] = [
@@ -161,7 +161,7 @@
     assert now - world.notes["resident"] < megabytes * 1_000_000
 
 
-@when(parsers.parse("the {count:d} callers read at last"))
+@when(parsers.parse("the {count:d} callers start to read"))
 def read_at_last(world: paths.PathWorld, count: int) -> None:
     async def read_all() -> list[bytes]:
         callers = world.notes["unread"]
@@ -182,14 +182,14 @@
     world.system.nodes["n1"].kill()
 
 
-@then(parsers.parse("{name}'s stream is cut, and can be told from a whole one"))
+@then(parsers.parse("{name}'s stream is visibly incomplete"))
 def is_cut(world: paths.PathWorld, name: str) -> None:
     answer = world.answer(name)
     assert not answer.whole
     assert 0 < len(answer.tokens) < world.requests[name].count
 
 
-@then(parsers.parse("what {name} got is right so far"))
+@then(parsers.parse("all tokens that {name} received are right"))
 def right_so_far(world: paths.PathWorld, name: str) -> None:
     request = world.requests[name]
     tokens = tuple(world.answer(name).tokens)
--- a/tests/scenarios/datapath/test_refusals.py
+++ b/tests/scenarios/datapath/test_refusals.py
@@ -15,18 +15,18 @@
 
 scenarios("../features/refusals.feature")
 
-LATE_S = 0.05
-OLD_CONNECTIONS_S = 1.0
-"""Until then a kept connection may be used whose reset is not seen yet; what
-was written to it can't be proved not to have run."""
-TOKENS = 5
-PROMPT = 8
+LATE_RUN_S = 0.05
+STALE_CONNECTIONS_S = 1.0
+"""Until then a keep-alive connection may be used whose reset has not been seen
+yet; whether a request written to it has run is unknown."""
+ANSWER_TOKENS = 5
+PROMPT_TOKENS = 8
 
 
 @when(parsers.parse("a request with {fault} is sent"))
 def send(world: paths.PathWorld, fault: str) -> None:
     wanted = bad_requests.BAD_REQUESTS[fault]
-    world.note_executions()
+    world.record_executions()
     address = world.system.nodes["n1"].address
     sent = bad_requests.send(world.system.http, address, wanted)
     world.notes["answer"] = world.run(sent)
@@ -49,7 +49,7 @@
 
 @then("no endpoint ran anything")
 def nothing_ran(world: paths.PathWorld) -> None:
-    world.run(asyncio.sleep(LATE_S))
+    world.run(asyncio.sleep(LATE_RUN_S))
     world.check_no_executions()
 
 
@@ -60,23 +60,23 @@
 
 @when("the engines refuse all steps")
 def refuse_steps(world: paths.PathWorld) -> None:
-    world.note_executions()
+    world.record_executions()
     for engine in world.system.engines:
         world.run(world.system.control(engine, refuse_all=True))
 
 
 @when("the links to all engines have refused connections for 1 s")
 def refuse_connections(world: paths.PathWorld) -> None:
-    world.note_executions()
+    world.record_executions()
     for proxy in world.system.proxies.values():
         world.run(proxy.refuse())
         proxy.cut()
-    world.run(asyncio.sleep(OLD_CONNECTIONS_S))
+    world.run(asyncio.sleep(STALE_CONNECTIONS_S))
 
 
 @when(parsers.parse("{name} asks for an answer within {deadline_ms:d} ms"))
 def ask_within(world: paths.PathWorld, name: str, deadline_ms: int) -> None:
-    world.ask(name, TOKENS, PROMPT, deadline_ms=deadline_ms)
+    world.ask(name, ANSWER_TOKENS, PROMPT_TOKENS, deadline_ms=deadline_ms)
 
 
 @then(parsers.parse("{name} is told {execution}"))
@@ -85,6 +85,6 @@
     assert answer.execution == execution, answer.problem
 
 
-@then("the node stopped to read it")
+@then("the node stopped reading it")
 def stopped_reading(world: paths.PathWorld) -> None:
     assert world.notes["answer"].status in (413, bad_requests.NO_ANSWER)
--- a/tests/scenarios/datapath/troubles.py
+++ b/tests/scenarios/datapath/troubles.py
@@ -1,4 +1,4 @@
-"""Troubles of one plain endpoint, by the names in features."""
+"""Faults of one plain endpoint, by their names in feature files."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 SERVICE = "slip"
 ENDPOINT = "slip1"
-SLOW_S = 2.0
-MID_REQUEST_S = 0.2
-HALF_REQUEST = 150
-HALF_ANSWER = 30
+SLOW_DELAY_S = 2.0
+CUT_DELAY_S = 0.2
+HALF_REQUEST_BYTES = 150
+HALF_ANSWER_BYTES = 30
 
 
-async def bring_about(system: paths.PathSystem, trouble: str) -> None:
-    """Brings about a trouble that lasts until the system is healed."""
+async def inject(system: paths.PathSystem, trouble: str) -> None:
+    """Injects a fault that lasts until the system is healed."""
     await TROUBLES[trouble](system)
 
 
@@ -42,7 +42,7 @@
 
 
 async def cut_requests_short(system: paths.PathSystem) -> None:
-    system.proxies[ENDPOINT].request_limit = HALF_REQUEST
+    system.proxies[ENDPOINT].request_limit = HALF_REQUEST_BYTES
 
 
 async def cut_mid_request(system: paths.PathSystem) -> None:
@@ -55,7 +55,7 @@
     before = proxy.connections
     while proxy.connections == before:
         await asyncio.sleep(proxies.POLL_S)
-    await asyncio.sleep(MID_REQUEST_S)
+    await asyncio.sleep(CUT_DELAY_S)
     proxy.cut()
 
 
@@ -64,7 +64,7 @@
 
 
 async def cut_answers_short(system: paths.PathSystem) -> None:
-    system.proxies[ENDPOINT].answer_limit = HALF_ANSWER
+    system.proxies[ENDPOINT].answer_limit = HALF_ANSWER_BYTES
 
 
 async def close_after_run(system: paths.PathSystem) -> None:
@@ -72,7 +72,7 @@
 
 
 async def slow_down(system: paths.PathSystem) -> None:
-    await system.control(ENDPOINT, slow_s=SLOW_S)
+    await system.control(ENDPOINT, slow_s=SLOW_DELAY_S)
 
 
 async def refuse_calls(system: paths.PathSystem) -> None:
@@ -81,7 +81,7 @@
 
 TROUBLES: dict[str, Callable[[paths.PathSystem], Awaitable[None]]] = {
     "refuses connections": refuse,
-    "takes no connection": fill_backlog,
+    "accepts no connection": fill_backlog,
     "gets no request": hold_requests,
     "gets half the request": cut_requests_short,
     "is cut mid-request": cut_mid_request,
--- a/tests/scenarios/features/execution_truth.feature
+++ b/tests/scenarios/features/execution_truth.feature
@@ -1,8 +1,8 @@
 Feature: What the caller is told of execution is true
-  A call that may not be repeated meets a bad link or a bad endpoint. The
-  caller hears not_run only if nothing can have run; if the request left and
-  no whole answer came, it hears unknown, and nobody sends it a second time.
-  The service's own ledger says what ran.
+  A non-idempotent call meets a faulty link or endpoint. The caller is told
+  not_run only if nothing can have run. If the request was sent and no
+  complete answer came, the caller is told unknown, and the call is not
+  retried. The service's own ledger shows what ran.
 
   Background:
     Given two engines for each of three stages, behind proxies
@@ -17,7 +17,7 @@
     Examples: before the request leaves
       | trouble               | deadline | kind                 | execution | runs |
       | refuses connections   | 3000     | endpoint_unreachable | not_run   | 0    |
-      | takes no connection   | 3000     | endpoint_unreachable | not_run   | 0    |
+      | accepts no connection   | 3000     | endpoint_unreachable | not_run   | 0    |
 
     Examples: while it is sent
       | trouble               | deadline | kind            | execution | runs |
@@ -34,11 +34,11 @@
       | refuses the call      | 3000     | endpoint_refused | not_run  | 0    |
 
   Scenario Outline: the caller sends the same again after the endpoint <trouble>
-    What was on its way when the caller was told unknown may still arrive.
+    Data in transit when the caller was told unknown may still arrive.
 
     When slip <trouble>
     And ann calls slip within 1000 ms
-    And the link and the service slip are well again
+    And the link to slip and the service are healthy again
     And ann sends the same again
     Then slip ran <runs> calls
     And ann's second answer is <second>
@@ -52,14 +52,15 @@
       | refuses the call     | 1    | whole   |
 
   Scenario: a non-idempotent completion takes longer than its caller allows
-    It ran in part, so the caller may not hear not_run: it would ask with a
-    new key. A repeat with the same key hears the same and runs nothing.
+    It ran in part, so the caller must not be told not_run: it would retry
+    with a new key. A repeat with the same key gets the same answer and runs
+    nothing.
 
     When the engines are 40 times slower
     And ann asks once for 10 tokens within 700 ms
     Then ann is told unknown
     And engines ran a part of ann's request
-    When the engines are as fast as ever
+    When the engines are as fast as before
     And ann asks once for the same within 5000 ms
     Then ann is told unknown
     And engines ran ann's request once
--- a/tests/scenarios/features/fleet_change.feature
+++ b/tests/scenarios/features/fleet_change.feature
@@ -1,6 +1,6 @@
 Feature: The fleet changes while requests are served
-  Engines join and versions change without any step beside the operators'
-  text, and no caller's request fails for it.
+  Engines join and versions change with no manual step other than applying
+  the configuration text, and no caller's request fails because of it.
 
   Scenario: a new engine is put to use
     The engine registers with the platform; the holder of the control lease
@@ -10,8 +10,8 @@
     Then e9 serves layers within 20 seconds
 
   Scenario: a version change fails no request
-    Callers keep asking while version 2 replaces version 1. Each answer is
-    whole and of one version, first all of 1, in the end all of 2.
+    Callers send requests while version 2 replaces version 1. Each answer is
+    complete and of one version: at first all of 1, in the end all of 2.
     Given a system of 2 nodes
     When callers keep asking for 12 tokens
     And version 2 of the model is applied
@@ -19,8 +19,8 @@
     And every answer was whole and of one version
 
   Scenario: a service waits for what it depends on
-    The advice of this text depends on a plain service without endpoints, so
-    that a request for it is refused as not run, and says when to come back.
+    In this configuration chat depends on a plain service without endpoints,
+    so a request for it is refused as not run, with a time to retry after.
     Given a system of 1 nodes
     When chat is made to depend on a service without endpoints
     Then a request for chat is refused as service_not_ready
--- a/tests/scenarios/features/leaving_endpoint.feature
+++ b/tests/scenarios/features/leaving_endpoint.feature
@@ -1,8 +1,8 @@
 Feature: A leaving endpoint gets no new work, and its work is not lost
-  The platform's list shows changes 10 s late. An engine that is told to stop
-  says so itself in its load report; here it would still open sessions, so
-  that only the nodes' own knowledge keeps new work away. 3 s later no new
-  session may begin there; running streams go on to their right end.
+  The platform's list lags by 10 s. An engine that is told to stop announces
+  it in its load report. Here it would still accept new sessions, so only the
+  nodes' own knowledge keeps new work away. From 3 s later no new session may
+  begin there; running streams complete correctly.
 
   Background:
     Given a system whose VM list lags by 10 s
@@ -17,7 +17,7 @@
     And every layer ran once and in order for ann
     And another session took over ann's <stage> stage
     And all new requests have the right answers
-    And that engine ended by itself
+    And that engine exited by itself
 
     Examples:
       | stage  |
@@ -25,7 +25,7 @@
       | middle |
 
   Scenario: only the VM list says that an engine leaves
-    The engine itself knows nothing; the list shows it 10 s late.
+    The engine itself doesn't know; the list shows it 10 s late.
 
     When ann asks for 10 tokens
     And the last stage of ann is in decode
--- a/tests/scenarios/features/link_cut.feature
+++ b/tests/scenarios/features/link_cut.feature
@@ -1,7 +1,7 @@
 Feature: The link to an engine is cut at any position of a chain
-  The caller's stream goes on with the right tokens, each once.
-  The engine may have run the step before the cut or not; nobody knows, so
-  the step isn't sent again to that session: it could append to its KV twice.
+  The caller's stream continues with the correct tokens, each once.
+  Whether the engine ran the step before the cut is unknown, so the step
+  isn't resent to that session: it could append to its KV cache twice.
 
   Background:
     Given two engines for each of three stages, behind proxies
--- a/tests/scenarios/features/link_silent.feature
+++ b/tests/scenarios/features/link_silent.feature
@@ -1,7 +1,7 @@
 Feature: The link to an engine falls silent or slow
-  The caller's stream goes on with the right tokens, each once.
-  No connection breaks; the node learns only by a step that takes too long.
-  What was held back may arrive later and must change nothing.
+  The caller's stream continues with the correct tokens, each once.
+  No connection breaks; the node notices only that a step takes too long.
+  Data that was held back may arrive later and must have no effect.
 
   Background:
     Given two engines for each of three stages, behind proxies
@@ -22,12 +22,12 @@
       | not reached by requests | first  | decode  |
       | not reached by requests | middle | decode  |
       | not reached by requests | last   | decode  |
-      | not heard               | first  | prefill |
-      | not heard               | middle | prefill |
-      | not heard               | last   | prefill |
-      | not heard               | first  | decode  |
-      | not heard               | middle | decode  |
-      | not heard               | last   | decode  |
+      | muted                   | first  | prefill |
+      | muted                   | middle | prefill |
+      | muted                   | last   | prefill |
+      | muted                   | first  | decode  |
+      | muted                   | middle | decode  |
+      | muted                   | last   | decode  |
       | trickling               | first  | decode  |
       | trickling               | middle | decode  |
       | trickling               | last   | decode  |
@@ -41,6 +41,6 @@
 
     Examples:
       | fault             | stage  | phase   |
-      | not heard for 1 s | first  | decode  |
-      | not heard for 1 s | middle | decode  |
-      | not heard for 1 s | last   | decode  |
+      | muted for 1 s     | first  | decode  |
+      | muted for 1 s     | middle | decode  |
+      | muted for 1 s     | last   | decode  |
--- a/tests/scenarios/features/lost_stage.feature
+++ b/tests/scenarios/features/lost_stage.feature
@@ -1,5 +1,5 @@
 Feature: A stage is lost in the middle of a request
-  The caller sees the right tokens, each once, whatever happens to a stage.
+  The caller gets the correct tokens, each once, whatever happens to a stage.
 
   Scenario Outline: one engine is <what> in decode
     Given a system of 2 nodes
--- a/tests/scenarios/features/own_answer.feature
+++ b/tests/scenarios/features/own_answer.feature
@@ -1,8 +1,8 @@
 Feature: Each caller gets the whole answer to the own request
-  Six callers stream at once, so that steps of several travel in one call.
-  Answers come late, crossed or on connections that die meanwhile. Each
-  caller gets the right tokens for the own prompt, or a stream that can be
-  told to be cut; never someone else's tokens.
+  Six callers stream at once, so steps of several requests share one call.
+  Responses arrive late, swapped or on connections that break meanwhile. Each
+  caller gets the correct tokens for its own prompt, or a visibly incomplete
+  stream; never another caller's tokens.
 
   Background:
     Given two engines for each of three stages, behind proxies
@@ -24,10 +24,10 @@
       | cut off after the runs  | an engine of each stage |
 
   Scenario Outline: a caller goes away in <phase>
-    The work is dropped: engines that would go on for nobody serve others.
+    The work is cancelled, which frees the engines for other requests.
 
     When ann's <kind> request is in <phase>
-    And ann goes away
+    And ann disconnects
     Then no engine has a session 1 s later
 
     Examples:
@@ -38,18 +38,18 @@
       | whole    | decode  |
 
   Scenario: readers that don't read
-    Their streams stop; others go on, and the node holds no more for them.
+    Their streams stall; others continue, and the node buffers no more data.
 
     When 20 callers ask for 300 tokens and read nothing
     And ann asks for an answer
     Then ann has the right answer
     And the node grew by less than 30 MB
-    When the 20 callers read at last
+    When the 20 callers start to read
     Then each of them gets the end of the stream
 
   Scenario: the node is killed in the middle of a stream
     When ann asks for an answer
     And ann has received 6 more tokens
     And the node is killed
-    Then ann's stream is cut, and can be told from a whole one
-    And what ann got is right so far
+    Then ann's stream is visibly incomplete
+    And all tokens that ann received are right
--- a/tests/scenarios/features/poison.feature
+++ b/tests/scenarios/features/poison.feature
@@ -1,11 +1,11 @@
 Feature: A request crashes every endpoint that runs it
-  Without the quarantine one request, replayed here and sent again through
-  other nodes, would take down one engine after another.
+  Without quarantine one request, replayed here and resent through other
+  nodes, would take down one engine after another.
 
   Scenario: two endpoints are lost at most
-    The request crashes an engine, is run again at once and crashes a second;
-    it is then refused here, and by every node that it is sent to again.
-    Requests in flight beside it get their right answers.
+    The request crashes an engine, is retried at once and crashes a second.
+    It is then refused here and by every other node that it is resent to.
+    Concurrent requests get their right answers.
     Given a system of 3 nodes and spare engines
     And every engine crashes on token 666
     When bob asks n1 for 60 tokens
@@ -19,8 +19,8 @@
     And cid has the right answer
 
   Scenario: a rack of engines dying at once convicts nobody
-    Several engines of one zone die within a moment while requests run on
-    them. All requests get their right answers, from the engines left.
+    Several engines of one zone die at once while requests run on them. All
+    requests get their right answers from the remaining engines.
     Given a system of 2 nodes and spare engines
     When ann asks n1 for 80 tokens
     And bob asks n2 for 80 tokens
--- a/tests/scenarios/features/refusals.feature
+++ b/tests/scenarios/features/refusals.feature
@@ -1,7 +1,7 @@
 Feature: A request that can't be served is refused before anything runs
-  The caller gets one typed problem that names the kind and the remedy, and
-  is told not_run. No engine and no plain service has run any part of it;
-  their ledgers say so, not the node.
+  The caller gets one typed problem with its kind, a remedy and not_run. No
+  engine and no plain service has run any part of it, as their own ledgers
+  show.
 
   Background:
     Given two engines for each of three stages, behind proxies
@@ -62,11 +62,11 @@
       | a service that depends on it | service_not_ready | 503    |
 
   Scenario: a body that has no end
-    The node stops to read it; the caller may not see the answer then.
+    The node stops reading it, so the caller may not see the answer.
 
     When a request with a body that has no end is sent
     Then no endpoint ran anything
-    And the node stopped to read it
+    And the node stopped reading it
     And the node logged no traceback
 
   Scenario: all engines of a stage refuse to run anything
--- a/tests/scenarios/features/stage_frozen.feature
+++ b/tests/scenarios/features/stage_frozen.feature
@@ -1,7 +1,7 @@
 Feature: An engine is frozen at any position of a chain
-  The caller's stream pauses and goes on with the right tokens, each once.
-  The step that the engine has not answered may run later, when it is thawed;
-  its session is not stepped again, so its late answer does no harm.
+  The caller's stream pauses and continues with the correct tokens, each once.
+  The unanswered step may run later, when the engine is thawed; no more steps
+  are sent to its session, so a late response is harmless.
 
   Background:
     Given two engines for each of three stages, behind proxies
--- a/tests/scenarios/features/stage_killed.feature
+++ b/tests/scenarios/features/stage_killed.feature
@@ -1,7 +1,7 @@
 Feature: An engine is killed at any position of a chain
-  The caller's stream pauses and goes on with the right tokens, each once.
-  The engine ends while it runs a step, or after it ran one, before it answers.
-  Its session is abandoned; a new one on another engine runs its inputs again.
+  The caller's stream pauses and continues with the correct tokens, each once.
+  The engine dies during a step, or after a step but before it answers.
+  Its session is abandoned; a new one on another engine replays its inputs.
 
   Background:
     Given two engines for each of three stages, behind proxies
--- a/tests/scenarios/steady.py
+++ b/tests/scenarios/steady.py
@@ -1,4 +1,4 @@
-"""Callers that send one request after the other, as a background load."""
+"""Background load of callers that send requests one after another."""
 
 from __future__ import annotations
 
@@ -15,59 +15,60 @@
 
     from almondshift.adapters import http_caller
 
-CALLERS = 3
-TOKENS = 10
-VERSIONS = (1, 2)
-LONGEST_PAUSE_S = 0.3
-GIVE_UP_S = 30.0
+CALLER_COUNT = 3
+ANSWER_TOKENS = 10
+MODEL_VERSIONS = (1, 2)
+MAX_RETRY_DELAY_S = 0.3
+RETRY_TIMEOUT_S = 30.0
 
 
 @dataclasses.dataclass(slots=True)
-class Tally:
-    """What the callers met.
+class LoadResult:
+    """Outcomes of the callers' requests.
 
     Attributes:
-        whole: Whole and right answers.
-        refusals: Problems with ``not_run``, after which a caller asked again.
-        unreachable: Times that no connection was made.
-        failures: Whatever else came.
+        succeeded: Complete and correct answers.
+        refusals: Problems with ``not_run``, after which a caller retried.
+        unreachable: Failed connection attempts.
+        failures: Descriptions of all other outcomes.
     """
 
-    whole: int = 0
+    succeeded: int = 0
     unreachable: int = 0
     refusals: list[dict[str, Any]] = dataclasses.field(default_factory=list)
     failures: list[str] = dataclasses.field(default_factory=list)
 
 
 class SteadyLoad:
-    """Callers of the chat service, until they are told to stop.
+    """Callers that send chat requests until they are stopped.
 
-    A caller that hears ``not_run`` asks again, as the callers' page says; all
-    else than a whole and right answer is a failure.
+    After ``not_run`` a caller retries, as the documentation for callers says.
+    Anything else but a complete and correct answer is a failure.
     """
 
     def __init__(
         self,
         caller: http_caller.Caller,
-        choose: Callable[[], Awaitable[str]],
+        choose_address: Callable[[], Awaitable[str]],
     ) -> None:
         self.caller = caller
-        self.choose = choose
-        self.tally = Tally()
+        self.choose_address = choose_address
+        self.result = LoadResult()
         self.stopping = False
         self.tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
         """Starts the callers."""
         self.tasks = [
-            asyncio.create_task(self._run(number)) for number in range(CALLERS)
+            asyncio.create_task(self._run(number))
+            for number in range(CALLER_COUNT)
         ]
 
-    async def stop(self) -> Tally:
-        """Lets each caller end what it has begun."""
+    async def stop(self) -> LoadResult:
+        """Stops the callers after their current requests."""
         self.stopping = True
         await asyncio.gather(*self.tasks)
-        return self.tally
+        return self.result
 
     async def _run(self, number: int) -> None:
         sent = 0
@@ -78,37 +79,41 @@
     async def _send(self, name: str) -> None:
         prompt = [ord(letter) for letter in name]
         loop = asyncio.get_running_loop()
-        end = loop.time() + GIVE_UP_S
+        end = loop.time() + RETRY_TIMEOUT_S
         while loop.time() < end:
             answer = await self.caller.complete(
-                "chat", prompt, TOKENS, address=await self.choose()
+                "chat",
+                prompt,
+                ANSWER_TOKENS,
+                address=await self.choose_address(),
             )
             if not self._is_refusal(answer):
-                self._judge(name, prompt, answer)
+                self._record(name, prompt, answer)
                 return
             self.caller.forget_entries()
-            await asyncio.sleep(_pause_s(answer))
-        self.tally.failures.append(f"{name}: refused for {GIVE_UP_S} s")
+            await asyncio.sleep(_retry_delay_s(answer))
+        self.result.failures.append(f"{name}: refused for {RETRY_TIMEOUT_S} s")
 
     def _is_refusal(self, answer: http_caller.CallerAnswer) -> bool:
         if answer.unreachable:
-            self.tally.unreachable += 1
+            self.result.unreachable += 1
             return True
         if answer.problem is not None and answer.execution == "not_run":
-            self.tally.refusals.append(answer.problem)
+            self.result.refusals.append(answer.problem)
             return True
         return False
 
-    def _judge(
+    def _record(
         self, name: str, prompt: list[int], answer: http_caller.CallerAnswer
     ) -> None:
-        right = {
-            systems.expected(prompt, TOKENS, version) for version in VERSIONS
+        expected = {
+            systems.expected(prompt, ANSWER_TOKENS, version)
+            for version in MODEL_VERSIONS
         }
-        if answer.whole and tuple(answer.tokens) in right:
-            self.tally.whole += 1
+        if answer.whole and tuple(answer.tokens) in expected:
+            self.result.succeeded += 1
         else:
-            self.tally.failures.append(_describe(name, answer))
+            self.result.failures.append(_describe(name, answer))
 
 
 def _describe(name: str, answer: http_caller.CallerAnswer) -> str:
@@ -118,8 +123,8 @@
     )
 
 
-def _pause_s(answer: http_caller.CallerAnswer) -> float:
+def _retry_delay_s(answer: http_caller.CallerAnswer) -> float:
     if answer.problem is None:
         return 0.0
-    told = float(answer.problem.get("retry_after_s") or 0.0)
-    return min(told, LONGEST_PAUSE_S)
+    retry_after_s = float(answer.problem.get("retry_after_s") or 0.0)
+    return min(retry_after_s, MAX_RETRY_DELAY_S)
--- a/tests/scenarios/steps_config.py
+++ b/tests/scenarios/steps_config.py
@@ -1,4 +1,4 @@
-"""Steps about operators who change the configuration."""
+"""Steps for operators who change the configuration."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 if TYPE_CHECKING:
     from almondshift.ports import operations
 
-IN_FORCE_S = 5.0
-ATTEMPTS = 5
+APPLY_LIMIT_S = 5.0
+MAX_ATTEMPTS = 5
 
-WRONG_TEXTS = {
+INVALID_EDITS = {
     "has an unknown key": (
         "[service chat]\n",
         "[service chat]\ncolour = red\n",
@@ -39,7 +39,7 @@
 
 
 def _write_change(control: controls.Control, operator: str) -> None:
-    """Adds the operator's account to the text that a node shows."""
+    """Adds the operator's account to a node's current configuration."""
     node = next(iter(control.system.nodes.values()))
     shown = control.world.run(
         control.system.get_json(
@@ -47,35 +47,35 @@
         )
     )
     control.texts[operator] = controls.with_account(shown["text"], operator)
-    control.bases[operator] = shown["version"]
+    control.base_versions[operator] = shown["version"]
 
 
 @when(parsers.parse("{operator} begins to apply a change through {node}"))
 def begin_change(control: controls.Control, operator: str, node: str) -> None:
     _write_change(control, operator)
-    control.begin(operator, node)
+    control.start_apply(operator, node)
 
 
 @when(parsers.parse("{operator} applies a change through {node}"))
 def apply_change(control: controls.Control, operator: str, node: str) -> None:
     begin_change(control, operator, node)
-    control.hear(operator)
+    control.wait_result(operator)
 
 
 @when(parsers.parse("{operator} repeats the change through {node}"))
 def repeat_change(control: controls.Control, operator: str, node: str) -> None:
-    control.begin(operator, node)
-    control.hear(operator)
+    control.start_apply(operator, node)
+    control.wait_result(operator)
 
 
 @when(parsers.parse("{operator} applies a text that {fault}"))
-def apply_wrong(control: controls.Control, operator: str, fault: str) -> None:
+def apply_invalid(control: controls.Control, operator: str, fault: str) -> None:
     _write_change(control, operator)
-    old, new = WRONG_TEXTS[fault]
+    old, new = INVALID_EDITS[fault]
     assert old in control.texts[operator]
     control.texts[operator] = control.texts[operator].replace(old, new)
-    control.begin(operator, "n1")
-    control.hear(operator)
+    control.start_apply(operator, "n1")
+    control.wait_result(operator)
 
 
 @when(
@@ -84,55 +84,59 @@
         "{one} and {other}"
     )
 )
-def race(
+def apply_concurrently(
     control: controls.Control, first: str, second: str, one: str, other: str
 ) -> None:
-    """Lets both writes go only when both nodes have sent theirs."""
+    """Holds both writes until both nodes have sent theirs."""
     _write_change(control, first)
     _write_change(control, second)
     hold_writes(control, one)
     hold_writes(control, other)
-    control.begin(first, one)
-    control.begin(second, other)
+    control.start_apply(first, one)
+    control.start_apply(second, other)
     _wait_held(control, one)
     _wait_held(control, other)
     release_writes(control, one)
     release_writes(control, other)
-    control.hear(first)
-    control.hear(second)
+    control.wait_result(first)
+    control.wait_result(second)
 
 
-@when(parsers.parse("changes that {node} writes are held back on the way"))
+@when(parsers.parse("config writes of {node} are held in transit"))
 def hold_writes(control: controls.Control, node: str) -> None:
     control.proxies[node].held_content = controls.CONFIG_WRITE
 
 
-@when(parsers.parse("what {node} wrote arrives late"))
+@when(parsers.parse("the held writes of {node} are delivered"))
 def release_writes(control: controls.Control, node: str) -> None:
     proxy = control.proxies[node]
     proxy.held_content = None
 
-    async def gone() -> bool:
+    async def delivered() -> bool:
         return proxy.held == 0
 
-    control.world.run(control.system.wait_for(gone, f"writes of {node} went"))
+    control.world.run(
+        control.system.wait_for(
+            delivered, f"held writes of {node} are delivered"
+        )
+    )
 
 
 def _wait_held(control: controls.Control, node: str) -> None:
     async def held() -> bool:
         return control.proxies[node].held > 0
 
-    control.world.run(control.system.wait_for(held, f"a write of {node}"))
+    control.world.run(control.system.wait_for(held, f"{node} sends a write"))
 
 
-@when("the one with the conflict rebases and applies again")
+@when("the operator with the conflict rebases and applies again")
 def rebase(control: controls.Control) -> None:
     loser = next(
-        name for name, heard in control.heard.items() if heard.is_error()
+        name for name, result in control.results.items() if result.is_error()
     )
     _write_change(control, loser)
-    control.begin(loser, "n3", f"rebased-change-of-{loser}")
-    assert control.hear(loser).is_ok(), control.heard[loser]
+    control.start_apply(loser, "n3", f"rebased-change-of-{loser}")
+    assert control.wait_result(loser).is_ok(), control.results[loser]
 
 
 @when(parsers.parse("the platform holds version {version:d}"))
@@ -142,58 +146,60 @@
         return version in [row["value"]["version"] for row in rows]
 
     control.world.run(
-        control.system.wait_for(holds, f"the platform has {version}")
+        control.system.wait_for(holds, f"the platform stores version {version}")
     )
 
 
-@when(parsers.parse("{operator} hears that the outcome is unknown"))
-@then(parsers.parse("{operator} hears that the outcome is unknown"))
-def hears_unknown(control: controls.Control, operator: str) -> None:
-    error = control.hear(operator).error
+@when(parsers.parse("{operator} is told that the outcome is unknown"))
+@then(parsers.parse("{operator} is told that the outcome is unknown"))
+def told_unknown(control: controls.Control, operator: str) -> None:
+    error = control.wait_result(operator).error
     assert error.reported == "store_outcome_unknown", error
     assert error.execution == "unknown"
     assert f"change-of-{operator}" in error.remedy
 
 
-@then(parsers.parse("{operator} hears that nothing was changed"))
-def hears_not_run(control: controls.Control, operator: str) -> None:
-    error = control.hear(operator).error
+@then(parsers.parse("{operator} is told that nothing was changed"))
+def told_not_run(control: controls.Control, operator: str) -> None:
+    error = control.wait_result(operator).error
     assert error.reported == "store_unavailable", error
     assert error.execution == "not_run"
 
 
 @then(
-    parsers.parse("{operator} hears at last that version {version:d} is hers")
+    parsers.parse("{operator} is finally told that version {version:d} is hers")
 )
-def hears_accepted(
+def told_accepted(
     control: controls.Control, operator: str, version: int
 ) -> None:
-    """Repeats under the same change id while the answer is unknown."""
-    for _ in range(ATTEMPTS):
-        heard = control.hear(operator)
-        if heard.is_ok() or heard.error.reported != "store_outcome_unknown":
+    """Repeats with the same change id while the outcome is unknown."""
+    for _ in range(MAX_ATTEMPTS):
+        result = control.wait_result(operator)
+        if result.is_ok() or result.error.reported != "store_outcome_unknown":
             break
-        control.begin(operator, "n2")
-    assert heard.is_ok(), heard
-    accepted: operations.ConfigVersion = heard.ok
+        control.start_apply(operator, "n2")
+    assert result.is_ok(), result
+    accepted: operations.ConfigVersion = result.ok
     assert accepted.version == version
     assert accepted.text == control.texts[operator]
 
 
 @then(parsers.parse("one is accepted, the other must rebase on {version:d}"))
-def one_wins(control: controls.Control, version: int) -> None:
-    lost = [heard for heard in control.heard.values() if heard.is_error()]
-    assert len(lost) == 1, control.heard
-    error = lost[0].error
+def one_accepted(control: controls.Control, version: int) -> None:
+    rejected = [
+        result for result in control.results.values() if result.is_error()
+    ]
+    assert len(rejected) == 1, control.results
+    error = rejected[0].error
     assert error.reported == "config_conflict", error
     assert error.execution == "not_run"
     assert "almondshift config show" in error.remedy
     assert f"--base {version}" in error.remedy
 
 
-@then(parsers.parse("{operator} hears what to correct"))
-def hears_invalid(control: controls.Control, operator: str) -> None:
-    error = control.heard[operator].error
+@then(parsers.parse("{operator} is told what to correct"))
+def told_invalid(control: controls.Control, operator: str) -> None:
+    error = control.results[operator].error
     assert error.reported == "config_invalid", error
     assert error.execution == "not_run"
     assert "[" in error.detail
@@ -203,14 +209,14 @@
 @when(parsers.parse("version {version:d} is in force on {names}"))
 @then(parsers.parse("version {version:d} is in force on {names}"))
 def in_force_on(control: controls.Control, version: int, names: str) -> None:
-    wanted = control.nodes_of(names)
-    control.wait_version(version, wanted, IN_FORCE_S)
+    wanted = control.parse_nodes(names)
+    control.wait_version(version, wanted, APPLY_LIMIT_S)
 
 
 @then(parsers.parse("the platform holds versions {versions}"))
-def platform_versions(control: controls.Control, versions: str) -> None:
+def check_stored_versions(control: controls.Control, versions: str) -> None:
     wanted = [int(version) for version in versions.split(", ")]
-    assert sorted(control.accepted()) == wanted
+    assert sorted(control.stored_versions()) == wanted
 
 
 @then(parsers.parse("all nodes serve the account of {operator}"))
@@ -226,13 +232,15 @@
 
 
 def _wait_served(control: controls.Control, node: str, operator: str) -> None:
-    """Waits, since a new node may not know the endpoints yet."""
+    """Waits because a new node may not know the endpoints yet."""
 
     async def served() -> bool:
         return await _ask_lookup(control, node, operator) == 200
 
     control.world.run(
-        control.system.wait_for(served, f"{node} serves {operator}", IN_FORCE_S)
+        control.system.wait_for(
+            served, f"{node} serves {operator}", APPLY_LIMIT_S
+        )
     )
 
 
@@ -243,7 +251,7 @@
 async def _ask_lookup(
     control: controls.Control, node: str, operator: str
 ) -> int:
-    caller = await control.system.caller(controls.key_of(operator))
+    caller = await control.system.caller(controls.api_key(operator))
     answer = await caller.call(
         "lookup",
         "/",
@@ -254,30 +262,32 @@
     return answer.status
 
 
-@then("no node ever went back")
-def never_back(control: controls.Control) -> None:
+@then("no node ever reverted to an older version")
+def no_node_reverted(control: controls.Control) -> None:
     for node in [*control.system.nodes, *control.stopped]:
-        versions = control.versions_in_log(node)
+        versions = control.applied_versions(node)
         assert versions, node
         assert versions == sorted(set(versions)), (node, versions)
 
 
-@then(parsers.parse("{node} says that its version is {word}"))
-def says_verified(control: controls.Control, node: str, word: str) -> None:
+@then(parsers.parse("{node} reports that its version is {word}"))
+def reports_verified(control: controls.Control, node: str, word: str) -> None:
     wanted = {"verified": True, "unverified": False}[word]
 
-    async def says() -> bool:
+    async def reports() -> bool:
         status = await control.system.status(node)
         return bool(status) and status["config"]["verified"] is wanted
 
     control.world.run(
-        control.system.wait_for(says, f"{node} says {word}", IN_FORCE_S)
+        control.system.wait_for(
+            reports, f"{node} reports {word}", APPLY_LIMIT_S
+        )
     )
 
 
-@when("the platform's table goes back to an older copy")
-def restore_table(control: controls.Control) -> None:
-    """Sets the head back to version 1, as a restored backup would."""
+@when("the platform's table is restored from an older copy")
+def restore_older_head(control: controls.Control) -> None:
+    """Resets the head to version 1, as restoring a backup would."""
 
     async def write() -> None:
         assert control.system.platform is not None
@@ -302,7 +312,7 @@
 @when("every node has read the platform again")
 @then("every node has read the platform again")
 def all_read_again(control: controls.Control) -> None:
-    """Waits for two reads of each node; the first may have begun before."""
+    """Waits for two reads per node: the first may have started earlier."""
     before = {node: _head_reads(control, node) for node in control.proxies}
 
     async def read() -> bool:
@@ -311,7 +321,9 @@
             for node, count in before.items()
         )
 
-    control.world.run(control.system.wait_for(read, "all nodes read"))
+    control.world.run(
+        control.system.wait_for(read, "all nodes read the platform")
+    )
 
 
 def _head_reads(control: controls.Control, node: str) -> int:
--- a/tests/scenarios/steps_control.py
+++ b/tests/scenarios/steps_control.py
@@ -1,4 +1,4 @@
-"""Steps that all scenarios of the control path share."""
+"""Steps shared by all control-path scenarios."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
     from tests.scenarios import worlds
 
-STOP_S = 30.0
+STOP_TIMEOUT_S = 30.0
 
 
 @pytest.fixture
 def control(world: worlds.World) -> Iterator[controls.Control]:
-    """Yields what steps share; closes its proxies after."""
+    """Yields the steps' shared state; closes its proxies afterwards."""
     shared = controls.Control(world)
     yield shared
     shared.close()
@@ -33,32 +33,32 @@
     control.start(nodes)
 
 
-@given("the platform refuses everything")
-@when("the platform refuses everything")
+@given("the platform rejects all requests")
+@when("the platform rejects all requests")
 def platform_refuses(control: controls.Control) -> None:
-    control.platform(down="refuse")
+    control.set_platform_faults(down="refuse")
 
 
 @given("the platform hangs")
 @when("the platform hangs")
 def platform_hangs(control: controls.Control) -> None:
-    control.platform(down="hang")
+    control.set_platform_faults(down="hang")
 
 
 @when("the platform answers again")
 def platform_answers(control: controls.Control) -> None:
-    control.platform()
+    control.set_platform_faults()
 
 
 @when("the answer to every write is lost")
 def writes_lose_answers(control: controls.Control) -> None:
-    control.platform(lose_share=1.0)
+    control.set_platform_faults(lose_share=1.0)
 
 
 @when(parsers.parse("the platform is {state}"))
 def platform_state(control: controls.Control, state: str) -> None:
     switches = {"up": {}, "down": {"down": "refuse"}, "hung": {"down": "hang"}}
-    control.platform(**switches[state])
+    control.set_platform_faults(**switches[state])
 
 
 @when(parsers.parse("node {node} joins"))
@@ -71,8 +71,10 @@
     process = control.system.nodes[node]
     process.signal(signal.SIGTERM)
 
-    async def ended() -> bool:
+    async def exited() -> bool:
         return not process.is_running()
 
-    control.world.run(control.system.wait_for(ended, f"{node} ended", STOP_S))
-    control.forget_node(node)
+    control.world.run(
+        control.system.wait_for(exited, f"{node} exited", STOP_TIMEOUT_S)
+    )
+    control.remove_node(node)
--- a/tests/scenarios/steps_drain.py
+++ b/tests/scenarios/steps_drain.py
@@ -1,4 +1,4 @@
-"""Steps about VMs that are stopped gracefully."""
+"""Steps for VMs that are stopped gracefully."""
 
 from __future__ import annotations
 
@@ -17,78 +17,84 @@
     from tests.scenarios import control as controls
     from tests.scenarios import steady
 
-SLOW_ENGINE = 10.0
-CLEAN_EXIT = 0
+SLOW_FACTOR = 10.0
+EXIT_SUCCESS = 0
 
 
 @given("engines that are slow")
 def slow_engines(control: controls.Control) -> None:
     for name in control.system.engines:
-        control.world.run(control.system.control(name, slow_factor=SLOW_ENGINE))
+        control.world.run(control.system.control(name, slow_factor=SLOW_FACTOR))
 
 
-@then(parsers.parse("{node} lists {other} no more while that still serves"))
+@then(
+    parsers.parse(
+        "{node} no longer lists {other} while the latter still serves"
+    )
+)
 def not_listed(
     control: controls.Control,
     loads: list[steady.SteadyLoad],
     node: str,
     other: str,
 ) -> None:
-    gone = control.system.nodes[other].address
-    tally = loads[-1].tally
+    address = control.system.nodes[other].address
+    result = loads[-1].result
 
-    async def left_out() -> bool:
+    async def unlisted() -> bool:
         found = await control.system.get_json(
             control.system.nodes[node].address, "/v1/entries"
         )
         listed = [entry["address"] for entry in found.get("entries", [])]
-        return bool(listed) and gone not in listed
+        return bool(listed) and address not in listed
 
     control.world.run(
-        control.system.wait_for(left_out, f"{node} lists {other} no more")
+        control.system.wait_for(unlisted, f"{node} no longer lists {other}")
     )
-    assert not tally.refusals, tally
-    assert not tally.unreachable, tally
+    assert not result.refusals, result
+    assert not result.unreachable, result
 
 
 @then(
-    parsers.parse("the callers hear from {node} that it leaves and where to go")
+    parsers.parse(
+        "the callers are told by {node} that it is leaving and where to go"
+    )
 )
-def told_where(
+def told_other_nodes(
     control: controls.Control, loads: list[steady.SteadyLoad], node: str
 ) -> None:
-    tally = loads[-1].tally
+    result = loads[-1].result
     others = [
         process.address
         for name, process in control.system.nodes.items()
         if name != node
     ]
 
-    async def told() -> bool:
-        return bool(tally.refusals) or bool(tally.failures)
+    async def refused() -> bool:
+        return bool(result.refusals) or bool(result.failures)
 
-    control.world.run(control.system.wait_for(told, f"{node} refuses"))
-    assert not tally.failures, "\n".join(tally.failures)
-    for problem in tally.refusals:
+    control.world.run(control.system.wait_for(refused, f"{node} refuses"))
+    assert not result.failures, "\n".join(result.failures)
+    for problem in result.refusals:
         assert problem["kind"] == "node_leaving", problem
         written = json.dumps(problem)
         assert any(address in written for address in others), problem
 
 
-@then(parsers.parse("{process} has ended by itself"))
-def has_ended(control: controls.Control, process: str) -> None:
+@then(parsers.parse("{process} has exited by itself"))
+def has_exited(control: controls.Control, process: str) -> None:
     popen = control.system.runner.processes[process].popen
 
-    async def ended() -> bool:
+    async def exited() -> bool:
         return popen.poll() is not None
 
-    control.world.run(control.system.wait_for(ended, f"{process} ended"))
-    assert popen.returncode == CLEAN_EXIT
+    control.world.run(control.system.wait_for(exited, f"{process} exited"))
+    assert popen.returncode == EXIT_SUCCESS
 
 
-@when(parsers.parse("{new} takes the place of {old}"))
+@when(parsers.parse("{new} replaces {old}"))
 def replace_engine(control: controls.Control, new: str, old: str) -> None:
-    """Starts the new engine, then tells the old one to leave."""
+    """Starts the new engine, then stops the old one gracefully."""
     shape = next(s for s in systems.ENGINES if s.name == old)
     control.world.run(
         control.system.start_engine(dataclasses.replace(shape, name=new))
--- a/tests/scenarios/steps_load.py
+++ b/tests/scenarios/steps_load.py
@@ -1,4 +1,4 @@
-"""Steps about callers that send requests all the time."""
+"""Steps for callers that send requests continuously."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 def loads() -> list[steady.SteadyLoad]:
-    """The loads of a scenario; one as a rule."""
+    """Returns the loads of a scenario, usually one."""
     return []
 
 
@@ -30,10 +30,10 @@
 def load_nodes(
     control: controls.Control, loads: list[steady.SteadyLoad]
 ) -> None:
-    """Starts callers that avoid nodes which the scenario has frozen."""
+    """Starts callers that avoid the nodes frozen by the scenario."""
     turns = itertools.count()
 
-    async def choose() -> str:
+    async def choose_address() -> str:
         awake = [
             process
             for name, process in control.system.nodes.items()
@@ -41,7 +41,7 @@
         ]
         return awake[next(turns) % len(awake)].address
 
-    _start(control, loads, choose)
+    _start(control, loads, choose_address)
 
 
 @given("callers that follow the list of entries")
@@ -50,62 +50,65 @@
 ) -> None:
     turns = itertools.count()
 
-    async def choose() -> str:
+    async def choose_address() -> str:
         caller = await control.system.caller()
         found = await caller.entries()
         return found[next(turns) % len(found)]
 
-    _start(control, loads, choose)
+    _start(control, loads, choose_address)
 
 
 @when(parsers.parse("callers that hold the addresses of {names} begin"))
 def load_fixed(
     control: controls.Control, loads: list[steady.SteadyLoad], names: str
 ) -> None:
-    """Starts callers that go on with their addresses, whatever they hear."""
+    """Starts callers that keep using these addresses despite refusals."""
     turns = itertools.count()
     addresses = [
-        control.system.nodes[name].address for name in control.nodes_of(names)
+        control.system.nodes[name].address
+        for name in control.parse_nodes(names)
     ]
 
-    async def choose() -> str:
+    async def choose_address() -> str:
         return addresses[next(turns) % len(addresses)]
 
-    _start(control, loads, choose)
+    _start(control, loads, choose_address)
 
 
 def _start(
     control: controls.Control,
     loads: list[steady.SteadyLoad],
-    choose: Callable[[], Awaitable[str]],
+    choose_address: Callable[[], Awaitable[str]],
 ) -> None:
     async def begin() -> None:
         caller = await control.system.caller()
-        loads.append(steady.SteadyLoad(caller, choose))
+        loads.append(steady.SteadyLoad(caller, choose_address))
         await loads[-1].start()
 
     control.world.run(begin())
 
 
-@when(parsers.parse("the callers have had {count:d} more answers"))
-@then(parsers.parse("the callers have had {count:d} more answers"))
+@when(parsers.parse("the callers have received {count:d} more answers"))
+@then(parsers.parse("the callers have received {count:d} more answers"))
 def more_answers(
     control: controls.Control, loads: list[steady.SteadyLoad], count: int
 ) -> None:
-    tally = loads[-1].tally
-    wanted = tally.whole + count
+    result = loads[-1].result
+    wanted = result.succeeded + count
 
-    async def come() -> bool:
-        return tally.whole >= wanted or bool(tally.failures)
+    async def received() -> bool:
+        return result.succeeded >= wanted or bool(result.failures)
 
-    control.world.run(control.system.wait_for(come, f"{count} more answers"))
-    assert not tally.failures, "\n".join(tally.failures)
+    control.world.run(
+        control.system.wait_for(received, f"{count} more answers")
+    )
+    assert not result.failures, "\n".join(result.failures)
 
 
 @then("no request failed")
 def none_failed(
     control: controls.Control, loads: list[steady.SteadyLoad]
 ) -> None:
-    tally = control.world.run(loads[-1].stop())
-    assert tally.whole > 0
-    assert not tally.failures, "\n".join(tally.failures)
+    result = control.world.run(loads[-1].stop())
+    assert result.succeeded > 0
+    assert not result.failures, "\n".join(result.failures)
--- a/tests/scenarios/steps_once.py
+++ b/tests/scenarios/steps_once.py
@@ -1,4 +1,4 @@
-"""Steps about requests that may run at most once."""
+"""Steps for requests that may run at most once."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
     from tests.scenarios import control as controls
 
 SLOW_PLAIN_S = 1.5
-SLOW_ENGINE = 15.0
-TOKENS = 12
-FIRST_WORD = 1000
+SLOW_ENGINE_FACTOR = 15.0
+ANSWER_TOKENS = 12
+FIRST_TOKEN = 1000
 WARM_UP_CALLS = 6
-REFUSED_S = 2.5
+REFUSAL_LIMIT_S = 2.5
 CLAIM_WRITE = b'"table":"claims"'
 KEY = "key of the notice"
 BODIES = {"notice": b"pause member 7", "other notice": b"pause member 8"}
@@ -29,10 +29,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Notice:
-    """The one thing that must not be done twice.
+    """The non-idempotent work of a scenario.
 
     Attributes:
-        service: Service that carries it out.
+        service: The service that performs it.
         sent: Requests for it, by the caller's name.
     """
 
@@ -52,12 +52,14 @@
     notice.service = service
 
 
-@given("runs take long")
+@given("all endpoints are slow")
 def slow_down(control: controls.Control) -> None:
     for name in control.system.plain:
         control.world.run(control.system.control(name, slow_s=SLOW_PLAIN_S))
     for name in control.system.engines:
-        control.world.run(control.system.control(name, slow_factor=SLOW_ENGINE))
+        control.world.run(
+            control.system.control(name, slow_factor=SLOW_ENGINE_FACTOR)
+        )
 
 
 @given("kept connections to all endpoints")
@@ -102,7 +104,7 @@
 
 @when(parsers.parse("the notice is sent through {names} at once"))
 def send_at_once(control: controls.Control, notice: Notice, names: str) -> None:
-    for node in control.nodes_of(names):
+    for node in control.parse_nodes(names):
         send(control, notice, f"caller of {node}", "notice", node)
 
 
@@ -123,8 +125,8 @@
     else:
         work = caller.complete(
             notice.service,
-            [FIRST_WORD, *BODIES[what]],
-            TOKENS,
+            [FIRST_TOKEN, *BODIES[what]],
+            ANSWER_TOKENS,
             deadline_ms=ms,
             idempotency_key=KEY,
             address=address,
@@ -141,7 +143,7 @@
         rows += await control.system.ledger(name)
     if plain:
         return sum(row["path"].endswith("/pause") for row in rows)
-    starts = [row for row in rows if row["first_input"] == FIRST_WORD]
+    starts = [row for row in rows if row["first_input"] == FIRST_TOKEN]
     return len({row["request_id"] for row in starts if row["start"] == 0})
 
 
@@ -161,24 +163,24 @@
     control.world.run(control.system.wait_for(held, "the claim is written"))
 
 
-@when(parsers.parse("the claim's answer does not reach {node}"))
+@when(parsers.parse("the response to the claim is held back from {node}"))
 def hold_claim(control: controls.Control, node: str) -> None:
     control.proxies[node].held_answer_to = CLAIM_WRITE
 
 
-@when(parsers.parse("the claim's answer reaches {node} late"))
+@when(parsers.parse("the response to the claim reaches {node} late"))
 def release_answers(control: controls.Control, node: str) -> None:
     control.proxies[node].heal()
 
 
 @when(parsers.parse("{seconds:g} seconds pass"))
 def pass_time(control: controls.Control, seconds: float) -> None:
-    """Lets a deadline pass that the scenario gave."""
+    """Waits for a deadline of the scenario to pass."""
     control.world.run(asyncio.sleep(seconds))
 
 
 @given("the next answer of all endpoints is cut off")
-def swallow_next(control: controls.Control) -> None:
+def drop_next_answer(control: controls.Control) -> None:
     for name in control.system.plain:
         control.world.run(control.system.control(name, swallow_answers=1))
 
@@ -211,7 +213,7 @@
 
 
 @then(parsers.parse("{one} and {other} get the same answer"))
-def pair_same(
+def pair_same_answer(
     control: controls.Control, notice: Notice, one: str, other: str
 ) -> None:
     first = _answer(control, notice, one)
@@ -220,8 +222,8 @@
     assert (first.tokens, first.text) == (second.tokens, second.text)
 
 
-@then(parsers.parse("{name} hears that it may have run"))
-def hears_unknown(control: controls.Control, notice: Notice, name: str) -> None:
+@then(parsers.parse("{name} is told that it may have run"))
+def told_unknown(control: controls.Control, notice: Notice, name: str) -> None:
     answer = _answer(control, notice, name)
     assert answer.problem is not None, answer
     assert answer.kind == "outcome_unknown", answer.problem
@@ -229,43 +231,57 @@
     assert answer.problem["remedy"]
 
 
-@then(parsers.parse("{name} hears at once that it was not run"))
-def hears_not_run(control: controls.Control, notice: Notice, name: str) -> None:
+@then(parsers.parse("{name} is told at once that it was not run"))
+def told_not_run(control: controls.Control, notice: Notice, name: str) -> None:
     answer = _answer(control, notice, name)
     assert answer.problem is not None, answer
     assert answer.kind == "store_unavailable", answer.problem
     assert answer.execution == "not_run"
     assert answer.problem["retry_after_s"] >= 1, answer.problem
-    assert answer.seconds < REFUSED_S
+    assert answer.seconds < REFUSAL_LIMIT_S
 
 
-@then(parsers.parse("{name} hears that the deadline had passed"))
-def hears_late(control: controls.Control, notice: Notice, name: str) -> None:
+@then(parsers.parse("{name} is told that the deadline has passed"))
+def told_deadline_passed(
+    control: controls.Control, notice: Notice, name: str
+) -> None:
     answer = _answer(control, notice, name)
     assert answer.kind == "deadline_past", (answer.status, answer.problem)
     assert answer.execution == "not_run"
 
 
-@then(parsers.parse("{name} hears that the key was used for another body"))
-def hears_reused(control: controls.Control, notice: Notice, name: str) -> None:
+@then(parsers.parse("{name} is told that the key was used for another body"))
+def told_key_reused(
+    control: controls.Control, notice: Notice, name: str
+) -> None:
     answer = _answer(control, notice, name)
     assert answer.kind == "idempotency_key_reused", answer.problem
     assert answer.execution == "not_run"
 
 
-@then(parsers.parse("{name} repeats the notice through {node} until she knows"))
-@when(parsers.parse("{name} repeats the notice through {node} until she knows"))
-def repeat_until_known(
+@then(
+    parsers.parse(
+        "{name} repeats the notice through {node} until it is answered"
+    )
+)
+@when(
+    parsers.parse(
+        "{name} repeats the notice through {node} until it is answered"
+    )
+)
+def repeat_until_answered(
     control: controls.Control, notice: Notice, name: str, node: str
 ) -> None:
-    """Repeats while the refusal is one that says to ask again."""
+    """Repeats the request until it succeeds."""
 
-    async def known() -> bool:
+    async def answered() -> bool:
         task = await _begin(control, notice, "notice", node, 15_000)
         notice.sent[name] = task
         return (await task).status == 200
 
-    control.world.run(control.system.wait_for(known, f"{name} knows"))
+    control.world.run(
+        control.system.wait_for(answered, f"{name} gets an answer")
+    )
 
 
 @then(parsers.parse("it ran {count:d} times"))
--- a/tests/scenarios/steps_orders.py
+++ b/tests/scenarios/steps_orders.py
@@ -1,4 +1,4 @@
-"""Steps about the control lease and orders to engines."""
+"""Steps for the control lease and orders to engines."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 if TYPE_CHECKING:
     from tests.scenarios import control as controls
 
-SWITCHES = {"check": (), "ignore": ("--ignore-fencing",)}
+ENGINE_FLAGS = {"check": (), "ignore": ("--ignore-fencing",)}
 FORMER = "former holder"
-FORMER_NUMBER = "fencing number of the former holder"
+FORMER_FENCING = "fencing number of the former holder"
 LATE_ORDER = "late order"
 
 
@@ -31,7 +31,7 @@
 )
 def start_checking(control: controls.Control, nodes: int, check: str) -> None:
     engines = tuple(
-        dataclasses.replace(shape, extra=SWITCHES[check])
+        dataclasses.replace(shape, extra=ENGINE_FLAGS[check])
         for shape in systems.ENGINES
     )
     control.start(nodes, engines)
@@ -47,7 +47,7 @@
 def freeze_holder(control: controls.Control) -> None:
     row = control.world.run(_lease(control))
     control.world.notes[FORMER] = row["holder"]
-    control.world.notes[FORMER_NUMBER] = row["fencing"]
+    control.world.notes[FORMER_FENCING] = row["fencing"]
     control.frozen.add(row["holder"])
     control.system.nodes[row["holder"]].freeze()
 
@@ -63,7 +63,7 @@
     control.world.run(control.system.wait_for(holds, "a new holder"))
 
 
-@when(parsers.parse("the model goes to version {version:d}"))
+@when(parsers.parse("the model is changed to version {version:d}"))
 def change_model(control: controls.Control, version: int) -> None:
     node = next(n for n in control.system.nodes if n not in control.frozen)
     text = systems.fleet_text().replace(
@@ -111,7 +111,7 @@
         "the former holder sees that engines hold version {version:d}"
     )
 )
-def former_sees(control: controls.Control, version: int) -> None:
+def former_holder_sees(control: controls.Control, version: int) -> None:
     former = control.world.notes[FORMER]
 
     async def sees() -> bool:
@@ -138,8 +138,8 @@
     return rows
 
 
-@then("no engine got an order with a smaller number than before")
-def numbers_grow(control: controls.Control) -> None:
+@then("no engine got an order with a lower fencing number than before")
+def fencing_never_decreases(control: controls.Control) -> None:
     for engine in control.system.engines:
         rows = control.world.run(_orders(control, engine))
         numbers = [row["fencing"] for row in rows]
@@ -154,17 +154,17 @@
     )
 )
 def late_order(control: controls.Control, version: int, engine: str) -> None:
-    """Sends the order that a holder paused before its call would send."""
+    """Sends what a holder would send if it was paused just before the call."""
     rows = control.world.run(_orders(control, engine))
-    given_before = next(row for row in rows if row["version"] == version)
+    earlier = next(row for row in rows if row["version"] == version)
     body = {
-        "fencing": control.world.notes[FORMER_NUMBER],
+        "fencing": control.world.notes[FORMER_FENCING],
         "role": "serving",
         "model": systems.MODEL,
         "version": version,
         "adapter": "",
-        "start": given_before["start"],
-        "end": given_before["end"],
+        "start": earlier["start"],
+        "end": earlier["end"],
     }
     control.world.notes[LATE_ORDER] = len(rows)
     control.world.run(
@@ -174,19 +174,19 @@
     )
 
 
-@then(parsers.parse("{engine} refused it as stale"))
-def refused_stale(control: controls.Control, engine: str) -> None:
+@then(parsers.parse("{engine} rejected it as stale"))
+def rejected_stale(control: controls.Control, engine: str) -> None:
     assert _late_status(control, engine) == "stale"
 
 
-@then(parsers.parse("{engine} took it"))
-def took_it(control: controls.Control, engine: str) -> None:
+@then(parsers.parse("{engine} accepted it"))
+def accepted_late_order(control: controls.Control, engine: str) -> None:
     assert _late_status(control, engine) == "accepted"
 
 
 def _late_status(control: controls.Control, engine: str) -> str:
     rows = control.world.run(_orders(control, engine))
-    number = control.world.notes[FORMER_NUMBER]
+    number = control.world.notes[FORMER_FENCING]
     late = [
         row
         for row in rows[control.world.notes[LATE_ORDER] :]
--- a/tests/scenarios/steps_outage.py
+++ b/tests/scenarios/steps_outage.py
@@ -1,4 +1,4 @@
-"""Steps about the platform being away and coming back."""
+"""Steps for outages of the platform and its return."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 if TYPE_CHECKING:
     from tests.scenarios import control as controls
 
-WATCH_S = 3.0
+MEASURE_S = 3.0
 WINDOW_S = 1.0
-SAMPLE_S = 0.05
-USUAL = "usual rate"
-SERVE_S = 5.0
+SAMPLE_INTERVAL_S = 0.05
+USUAL_RATE = "usual rate"
+SERVE_LIMIT_S = 5.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -32,7 +32,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Rate:
-    """The most reads and writes that came in any second."""
+    """Peak reads and writes within any second."""
 
     reads: int
     writes: int
@@ -49,8 +49,8 @@
 
 async def _measure(control: controls.Control) -> Rate:
     samples = [await _sample(control)]
-    while samples[-1].at < samples[0].at + WATCH_S:
-        await asyncio.sleep(SAMPLE_S)
+    while samples[-1].at < samples[0].at + MEASURE_S:
+        await asyncio.sleep(SAMPLE_INTERVAL_S)
         samples.append(await _sample(control))
     pairs = [
         (one, other)
@@ -66,16 +66,16 @@
 
 @given("the usual rate of reads and writes")
 def usual_rate(control: controls.Control) -> None:
-    control.world.notes[USUAL] = control.world.run(_measure(control))
+    control.world.notes[USUAL_RATE] = control.world.run(_measure(control))
 
 
 @then(
     parsers.parse("reads and writes stay below {factor:d} times the usual rate")
 )
 def bounded_rate(control: controls.Control, factor: int) -> None:
-    usual: Rate = control.world.notes[USUAL]
+    usual: Rate = control.world.notes[USUAL_RATE]
     found = control.world.run(_measure(control))
-    print(f"rates: usual {usual}, on return {found}")
+    print(f"rates: usual {usual}, after the outage {found}")
     assert found.reads <= factor * usual.reads, (usual, found)
     assert found.writes <= factor * max(usual.writes, 1), (usual, found)
 
@@ -122,5 +122,5 @@
         return tuple(answer.tokens) == systems.expected(prompt, 5)
 
     control.world.run(
-        control.system.wait_for(served, f"{node} serves", SERVE_S)
+        control.system.wait_for(served, f"{node} serves", SERVE_LIMIT_S)
     )
--- a/tests/scenarios/test_fleet_change.py
+++ b/tests/scenarios/test_fleet_change.py
@@ -17,16 +17,16 @@
 
 scenarios("features/fleet_change.feature")
 
-CALLERS = 4
+CALLER_COUNT = 4
 
 
 @dataclasses.dataclass
 class SteadyLoad:
-    """Callers that ask again and again.
+    """Callers that send requests continuously.
 
     Attributes:
         versions: Versions of the answers so far, in order.
-        faults: What was not a whole answer of one version.
+        faults: Answers that were not complete or mixed versions.
     """
 
     count: int
@@ -90,11 +90,11 @@
     async def start() -> None:
         load.tasks = [
             asyncio.create_task(load.ask(world.system, number))
-            for number in range(CALLERS)
+            for number in range(CALLER_COUNT)
         ]
 
     async def begun() -> bool:
-        return len(load.versions) >= 2 * CALLERS
+        return len(load.versions) >= 2 * CALLER_COUNT
 
     world.run(start())
     world.run(world.system.wait_for(begun, "first answers"))
@@ -116,7 +116,7 @@
     load = world.notes["load"]
 
     async def changed() -> bool:
-        latest = collections.Counter(load.versions[-4 * CALLERS :])
+        latest = collections.Counter(load.versions[-4 * CALLER_COUNT :])
         return set(latest) == {version}
 
     world.run(world.system.wait_for(changed, f"version {version}", seconds))
--- a/tests/scenarios/test_kept_connections.py
+++ b/tests/scenarios/test_kept_connections.py
@@ -10,13 +10,13 @@
 if TYPE_CHECKING:
     import pathlib
 
-ASK = b"GET /healthz HTTP/1.1\r\nHost: n1\r\n\r\n"
+REQUEST = b"GET /healthz HTTP/1.1\r\nHost: n1\r\n\r\n"
 HOLD_S = 10.0
-"""Longer than the test needs from the stop to its last question."""
+"""Longer than the test takes from the stop to its last request."""
 
 
 class Caller:
-    """A caller that asks again and again on one connection."""
+    """A caller that sends requests on one keep-alive connection."""
 
     def __init__(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -25,8 +25,8 @@
         self.writer = writer
 
     async def ask(self) -> dict[str, str]:
-        """Returns the fields of the answer's head; reads the body, too."""
-        self.writer.write(ASK)
+        """Sends a request; returns the header fields of its whole answer."""
+        self.writer.write(REQUEST)
         head = (await self.reader.readuntil(b"\r\n\r\n")).decode()
         lines = [line.partition(": ") for line in head.split("\r\n")[1:-2]]
         fields = {name.lower(): value for name, _, value in lines}
@@ -43,16 +43,15 @@
 
 
 @asynchronous.run
-async def test_a_stopping_node_lets_go_of_kept_connections(
+async def test_stopping_node_closes_keep_alive_connections(
     tmp_path: pathlib.Path,
 ) -> None:
-    """A caller asks on one connection, and the node is told to stop.
+    """A stopping node answers with ``Connection: close`` and closes.
 
-    The answer after that tells it to go, and the connection ends with it,
-    so that it looks for another address while nothing of its work is at
-    stake. Its next request would else come on the same connection, up to
-    the one that is refused, or that comes as the node closes and of which
-    it can't know whether it ran.
+    The caller then looks for another address while none of its requests is
+    in flight. Otherwise it would keep using the connection until a request is
+    refused, or arrives as the node closes, and the caller can't know whether
+    it ran.
     """
     with processes.running(tmp_path) as runner:
         system = systems.RealSystem(runner, tmp_path, hold_s=HOLD_S)
--- a/tests/scenarios/test_poison.py
+++ b/tests/scenarios/test_poison.py
@@ -17,7 +17,7 @@
 
 POISON = [1, 2, 666, 4]
 ANSWERS = "poison answers"
-SPARE = tuple(
+SPARE_ENGINES = tuple(
     systems.EngineShape(f"{zone}{number}", 12, zone, "large")
     for zone in ("za", "zb")
     for number in (1, 2, 3)
@@ -32,7 +32,7 @@
 
 @given(parsers.parse("a system of {nodes:d} nodes and spare engines"))
 def start_spare(world: worlds.World, nodes: int) -> None:
-    world.run(world.system.start(nodes=nodes, engines=SPARE))
+    world.run(world.system.start(nodes=nodes, engines=SPARE_ENGINES))
 
 
 @when(parsers.parse("a request with token 666 is sent to {node}"))
@@ -52,8 +52,8 @@
 def refused(world: worlds.World) -> None:
     kinds = [answer.kind for answer in world.notes[ANSWERS]]
     assert kinds == ["quarantined"] * 3
-    said = [answer.execution for answer in world.notes[ANSWERS]]
-    assert said == ["unknown", "not_run", "not_run"]
+    executions = [answer.execution for answer in world.notes[ANSWERS]]
+    assert executions == ["unknown", "not_run", "not_run"]
 
 
 @then(parsers.parse("at most {count:d} engines are lost"))
--- a/tests/scenarios/worlds.py
+++ b/tests/scenarios/worlds.py
@@ -1,4 +1,4 @@
-"""What the steps of one scenario share."""
+"""State shared by the steps of one scenario."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclasses.dataclass
 class Request:
-    """A request that was sent, and its answer once it came."""
+    """A request and, once received, its answer."""
 
     prompt: list[int]
     count: int
@@ -29,11 +29,11 @@
 
 
 class World:
-    """A system under test on a loop of its own.
+    """A system under test on its own event loop.
 
     Attributes:
-        requests: Requests by the name that the scenario gives them.
-        notes: Whatever steps leave for later steps.
+        requests: Requests by their name in the scenario.
+        notes: Values that steps store for later steps.
     """
 
     def __init__(
@@ -45,7 +45,7 @@
         self.notes: dict[str, Any] = {}
 
     def run(self, work: Coroutine[Any, Any, T]) -> T:
-        """Runs work to its end; the scenario's tasks go on meanwhile."""
+        """Runs a coroutine to completion, alongside the scenario's tasks."""
         return self.loop.run_until_complete(work)
 
     def send(
@@ -58,7 +58,7 @@
         prompt: list[int] | None = None,
         **options: Any,
     ) -> Request:
-        """Starts a streamed completion and does not wait for it."""
+        """Starts a streamed completion without waiting for it."""
         return self.run(self._send(name, count, node, service, prompt, options))
 
     async def _send(
@@ -72,19 +72,19 @@
     ) -> Request:
         caller = await self.system.caller()
         address = self.system.nodes[node].address if node else None
-        words = prompt or [ord(c) for c in f"prompt of {name}"]
+        prompt_tokens = prompt or [ord(c) for c in f"prompt of {name}"]
         tokens: list[int] = []
         task = asyncio.create_task(
             caller.complete(
                 service,
-                words,
+                prompt_tokens,
                 count,
                 address=address,
                 on_token=tokens.append,
                 **options,
             )
         )
-        self.requests[name] = Request(words, count, task, tokens)
+        self.requests[name] = Request(prompt_tokens, count, task, tokens)
         return self.requests[name]
 
     def answer(self, name: str) -> http_caller.CallerAnswer:
@@ -95,16 +95,16 @@
         return await self.requests[name].task
 
     def wait_tokens(self, name: str, count: int) -> None:
-        """Waits until so many tokens of a request have come."""
+        """Waits until a request has received ``count`` tokens."""
         request = self.requests[name]
 
-        async def enough() -> bool:
+        async def received() -> bool:
             return len(request.tokens) >= count or request.task.done()
 
-        self.run(self.system.wait_for(enough, f"{count} tokens of {name}"))
+        self.run(self.system.wait_for(received, f"{count} tokens of {name}"))
 
-    def check_right(self, name: str, version: int = 1) -> None:
-        """Checks that an answer is whole and equal to the reference."""
+    def check_answer(self, name: str, version: int = 1) -> None:
+        """Checks that an answer is complete and equals the reference."""
         request = self.requests[name]
         answer = self.answer(name)
         assert answer.whole, (name, answer.problem, answer.tokens)
