--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers of a soak: what they send, and what they make of the answers."""
+"""Callers of a soak: the requests that they send and the answers they get."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
     from tests.soak import judge as soak_judge
     from tests.soak import system as soak_system
 
-CONNECT_S = 1.0
-RESOLVE_S = 1.0
-PATIENCE_S = 5.0
-"""Beyond the deadline; then a request counts as never answered."""
+CONNECT_TIMEOUT_S = 1.0
+RESOLVE_TIMEOUT_S = 1.0
+ANSWER_MARGIN_S = 5.0
+"""Time after the deadline until a request counts as never answered."""
 
-PAUSE_S = (0.05, 0.6)
-RETRY_S = 0.2
-LEAVE_EARLY = 0.03
+THINK_TIME_S = (0.05, 0.6)
+RETRY_DELAY_S = 0.2
+DISCONNECT_PROBABILITY = 0.03
 
 
 class Ending(enum.StrEnum):
@@ -38,10 +38,11 @@
 
 
 class Expected(enum.StrEnum):
-    """What the configuration says of a request.
+    """How the configuration decides on a request.
 
-    ``ALLOWED`` is allowed by every version; ``ADDED`` and ``DENIED`` by the
-    newest one, from some time after its ack.
+    ``ALLOWED`` requests are allowed by every version. ``ADDED`` ones are
+    allowed and ``DENIED`` ones denied by the newest version, some time after
+    its ack.
     """
 
     ALLOWED = "allowed"
@@ -52,12 +53,12 @@
 
 @dataclasses.dataclass(slots=True)
 class SentRequest:
-    """A request and what the caller saw of its answer.
+    """A request and the part of its answer that the caller received.
 
     Attributes:
-        acked_at: When the configuration that ``expected`` is of was acked.
-        ended_at: 0 while it waits.
-        body: Of the answer, as much as came.
+        acked_at: When the configuration behind ``expected`` was acked.
+        ended_at: When the exchange ended; 0 while it is in progress.
+        body: The part of the response body that was received.
     """
 
     request_id: str
@@ -103,7 +104,7 @@
         return ("\r\n".join(lines) + "\r\n\r\n").encode()
 
 
-class Channel:
+class NodeConnection:
     """A caller's connection to a node."""
 
     def __init__(
@@ -121,10 +122,10 @@
         self.is_open = False
         self.writer.close()
 
-    async def idle(self, seconds: float) -> bytes:
-        """Waits; returns bytes that came with no request waiting.
+    async def read_while_idle(self, seconds: float) -> bytes:
+        """Waits; returns bytes received while no request is in flight.
 
-        What is left of an answer that the caller left early is none of them.
+        The rest of an answer that the caller abandoned is not included.
         """
         if not self.is_open:
             await asyncio.sleep(seconds)
@@ -139,11 +140,11 @@
         return found
 
     async def exchange(self, request: SentRequest) -> None:
-        """Sends a request and reads its answer as far as it comes."""
+        """Sends a request and reads as much of the answer as arrives."""
         request.sent_at = time.monotonic()
         request.ending = Ending.UNANSWERED
         try:
-            async with asyncio.timeout(request.deadline_s + PATIENCE_S):
+            async with asyncio.timeout(request.deadline_s + ANSWER_MARGIN_S):
                 self.writer.write(request.head() + request.payload)
                 await self.writer.drain()
                 await self.read_answer(request)
@@ -196,26 +197,26 @@
         return chunk
 
 
-class Habit(enum.StrEnum):
+class ConnectionPolicy(enum.StrEnum):
     """How a caller uses its connections.
 
-    ``KEEPS`` stays with a node until its process is gone, whatever the
-    directory says, and connects again if the node closes a connection;
-    ``FOLLOWS`` leaves nodes that the directory no longer names; ``HOPS``
-    opens one for each request.
+    ``STICKY`` stays with a node until its process is gone, whatever the
+    directory says, and reconnects if the node closes a connection;
+    ``FOLLOW_DIRECTORY`` leaves nodes that the directory no longer lists;
+    ``PER_REQUEST`` opens a connection for each request.
     """
 
-    KEEPS = "keeps"
-    FOLLOWS = "follows"
-    HOPS = "hops"
+    STICKY = "keeps"
+    FOLLOW_DIRECTORY = "follows"
+    PER_REQUEST = "hops"
 
 
 class SoakCaller:
-    """Sends one request after the other.
+    """Sends requests one after another.
 
     Attributes:
-        known: Entry addresses by the newest answer of a directory.
-        home: Entry address of the node that it stays with; empty for none.
+        addresses: Entry addresses in the latest answer of a directory.
+        pinned_entry: Entry address that the caller stays with; empty for none.
     """
 
     def __init__(
@@ -228,61 +229,66 @@
         self.system = system
         self.judge = judge
         self.rng = random.Random(f"{system.options.seed}-caller-{number}")
-        self.habit = list(Habit)[number % len(Habit)]
-        self.channel: Channel | None = None
-        self.known: list[str] = []
-        self.known_until = 0.0
-        self.home = ""
+        self.policy = list(ConnectionPolicy)[number % len(ConnectionPolicy)]
+        self.connection: NodeConnection | None = None
+        self.addresses: list[str] = []
+        self.addresses_valid_until = 0.0
+        self.pinned_entry = ""
         self.sent = 0
         self.stopping = False
 
     async def run(self) -> None:
         while not self.stopping:
             try:
-                channel = await self.connected()
-                if channel is None:
-                    await asyncio.sleep(RETRY_S)
+                connection = await self.get_connection()
+                if connection is None:
+                    await asyncio.sleep(RETRY_DELAY_S)
                     continue
-                await self.send_one(channel)
-                await self.pause(channel)
+                await self.send_one(connection)
+                await self.pause(connection)
             finally:
-                if self.habit is Habit.HOPS and self.channel is not None:
-                    self.channel.close()
-
-    async def pause(self, channel: Channel) -> None:
-        stray = await channel.idle(self.rng.uniform(*PAUSE_S))
+                if (
+                    self.policy is ConnectionPolicy.PER_REQUEST
+                    and self.connection is not None
+                ):
+                    self.connection.close()
+
+    async def pause(self, connection: NodeConnection) -> None:
+        stray = await connection.read_while_idle(
+            self.rng.uniform(*THINK_TIME_S)
+        )
         if stray:
-            self.judge.stray_bytes(channel.node, stray)
-
-    async def send_one(self, channel: Channel) -> None:
-        request = self.draw(channel.node)
-        self.judge.sending(request)
-        sending = asyncio.create_task(channel.exchange(request))
-        patience_s = None
-        if self.rng.random() < LEAVE_EARLY:
-            patience_s = self.rng.uniform(0.0, 1.0)
-        await asyncio.wait([sending], timeout=patience_s)
+            self.judge.stray_bytes(connection.node, stray)
+
+    async def send_one(self, connection: NodeConnection) -> None:
+        request = self.draw_request(connection.node)
+        self.judge.record_sent(request)
+        sending = asyncio.create_task(connection.exchange(request))
+        disconnect_after_s = None
+        if self.rng.random() < DISCONNECT_PROBABILITY:
+            disconnect_after_s = self.rng.uniform(0.0, 1.0)
+        await asyncio.wait([sending], timeout=disconnect_after_s)
         sending.cancel()
         await asyncio.wait([sending])
-        self.judge.answered(request)
+        self.judge.check_answer(request)
         if request.ending is Ending.CUT and not request.status:
-            self.pass_over(self.entry_of(request.node))
-            await asyncio.sleep(RETRY_S)
+            self.drop_address(self.entry_address(request.node))
+            await asyncio.sleep(RETRY_DELAY_S)
         if request.status in (429, 503):
-            wait_s = float(request.fields.get("retry-after", RETRY_S))
+            wait_s = float(request.fields.get("retry-after", RETRY_DELAY_S))
             await asyncio.sleep(min(wait_s, 1.0))
 
-    def draw(self, node: str) -> SentRequest:
-        """Draws the next request."""
+    def draw_request(self, node: str) -> SentRequest:
+        """Draws a random request."""
         route = self.rng.choice(["chat", "chat", "talk", "once", "look"])
         events = 0
         if route in ("chat", "talk"):
-            longest = self.rng.choice([20, 20, 60, 60, 120, 400])
-            events = self.rng.randint(1, longest)
+            max_events = self.rng.choice([20, 20, 60, 60, 120, 400])
+            events = self.rng.randint(1, max_events)
         self.sent += 1
-        return self.make(node, route, events)
+        return self.make_request(node, route, events)
 
-    def make(self, node: str, route: str, events: int) -> SentRequest:
+    def make_request(self, node: str, route: str, events: int) -> SentRequest:
         request_id = f"c{self.number}-{self.sent}"
         size = self.rng.choice([0, 10, 10, 3000])
         return SentRequest(
@@ -296,66 +302,70 @@
             deadline_s=16.0 if events else 4.0,
         )
 
-    async def connected(self) -> Channel | None:
-        """Returns a connection to use, new or kept; None if none is found."""
-        await self.look_up()
-        channel = self.channel
-        if channel is not None and channel.is_open:
-            is_named = self.entry_of(channel.node) in self.known
-            if self.habit is Habit.KEEPS or is_named:
-                return channel
-            channel.close()
-        self.channel = None
-        entry = self.home or (self.rng.choice(self.known or [""]))
+    async def get_connection(self) -> NodeConnection | None:
+        """Returns an open or new connection; None if none is available."""
+        await self.refresh_addresses()
+        connection = self.connection
+        if connection is not None and connection.is_open:
+            is_named = self.entry_address(connection.node) in self.addresses
+            if self.policy is ConnectionPolicy.STICKY or is_named:
+                return connection
+            connection.close()
+        self.connection = None
+        entry = self.pinned_entry or (self.rng.choice(self.addresses or [""]))
         if entry:
-            self.channel = await self.connect(entry)
-        return self.channel
+            self.connection = await self.connect(entry)
+        return self.connection
 
-    def pass_over(self, entry: str) -> None:
-        """Leaves out an address that failed until the next look-up."""
-        self.known = [known for known in self.known if known != entry]
-        self.home = ""
+    def drop_address(self, entry: str) -> None:
+        """Skips a failed address until the next refresh."""
+        self.addresses = [
+            address for address in self.addresses if address != entry
+        ]
+        self.pinned_entry = ""
 
-    def entry_of(self, name: str) -> str:
+    def entry_address(self, name: str) -> str:
         return next(n.entry for n in self.system.nodes if n.name == name)
 
-    async def connect(self, entry: str) -> Channel | None:
+    async def connect(self, entry: str) -> NodeConnection | None:
         node = next(n for n in self.system.nodes if n.entry == entry)
         assert node.front is not None
         try:
-            async with asyncio.timeout(CONNECT_S):
-                channel = await open_channel(node.name, node.front.address)
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                connection = await open_node_connection(
+                    node.name, node.front.address
+                )
         except (OSError, TimeoutError):
-            self.pass_over(entry)
+            self.drop_address(entry)
             return None
-        if self.habit is Habit.KEEPS:
-            self.home = entry
-        return channel
+        if self.policy is ConnectionPolicy.STICKY:
+            self.pinned_entry = entry
+        return connection
 
-    async def look_up(self) -> None:
-        """Asks a directory when what it said is old; keeps it on failure."""
-        if time.monotonic() < self.known_until and self.known:
+    async def refresh_addresses(self) -> None:
+        """Refreshes stale addresses from a directory; keeps them on failure."""
+        if time.monotonic() < self.addresses_valid_until and self.addresses:
             return
         node = self.rng.choice(self.system.nodes)
         found = await resolve(node.directory)
         if found:
-            self.judge.resolved(node.name, found)
-            self.known = found
-            self.known_until = time.monotonic() + 1.0
+            self.judge.check_directory(node.name, found)
+            self.addresses = found
+            self.addresses_valid_until = time.monotonic() + 1.0
 
 
-async def open_channel(node: str, address: str) -> Channel:
+async def open_node_connection(node: str, address: str) -> NodeConnection:
     host, _, port = address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
-    return Channel(node, reader, writer)
+    return NodeConnection(node, reader, writer)
 
 
 async def resolve(directory: str) -> list[str]:
-    """Asks a node which addresses to use; empty without an answer."""
+    """Asks a node which addresses to use; returns none without an answer."""
     host, _, port = directory.rpartition(":")
     head = "GET /resolve?name=h&region=r&zone=za HTTP/1.1\r\nHost: x\r\n\r\n"
     try:
-        async with asyncio.timeout(RESOLVE_S):
+        async with asyncio.timeout(RESOLVE_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(host, int(port))
             try:
                 writer.write(head.encode())
--- a/tests/soak/config_probes.py
+++ b/tests/soak/config_probes.py
@@ -1,4 +1,4 @@
-"""Requests that show which configuration is in force at each node."""
+"""Requests that reveal which configuration is in force on each node."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
     from tests.soak import judge as soak_judge
     from tests.soak import system as soak_system
 
-MARGIN_S = 0.1
+PROBE_MARGIN_S = 0.1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigChange:
-    """What a version of the configuration allows or denies from now on.
+    """A request that a configuration version newly allows or denies.
 
     Attributes:
         version: The version that was acked at ``acked_at``.
@@ -34,7 +34,7 @@
 
 
 class ConfigProbes:
-    """Asks all nodes for what was changed, once it must be in force."""
+    """Probes all nodes for a change once it must be in force."""
 
     def __init__(
         self, system: soak_system.SoakSystem, judge: soak_judge.Judge
@@ -53,29 +53,31 @@
         await asyncio.gather(*self.tasks)
 
     async def probe_all(self, change: ConfigChange) -> None:
-        due = change.acked_at + layout.CONFIG_APPLY_S + MARGIN_S
+        due = change.acked_at + layout.CONFIG_APPLY_S + PROBE_MARGIN_S
         await asyncio.sleep(due - time.monotonic())
         nodes = self.system.nodes
         await asyncio.gather(*(self.probe(change, node) for node in nodes))
 
     async def probe(
-        self, change: ConfigChange, node: soak_system.NodePart
+        self, change: ConfigChange, node: soak_system.NodeProcess
     ) -> None:
         assert node.front is not None
         try:
-            channel = await callers.open_channel(node.name, node.front.address)
+            connection = await callers.open_node_connection(
+                node.name, node.front.address
+            )
         except OSError:
             return
         self.prober.sent += 1
-        request = self.prober.make(node.name, change.route, 0)
+        request = self.prober.make_request(node.name, change.route, 0)
         request.key, request.account = change.key, change.account
         request.expected = change.expected
         request.acked_at = change.acked_at
-        self.judge.sending(request)
-        await channel.exchange(request)
-        channel.close()
+        self.judge.record_sent(request)
+        await connection.exchange(request)
+        connection.close()
         is_newest = change.version == self.system.configuration.version
         if request.expected is callers.Expected.ADDED and not is_newest:
-            # A later version may have taken back what this one allowed.
+            # A later version may have revoked what this one allowed.
             request.expected = callers.Expected.UNKNOWN
-        self.judge.answered(request)
+        self.judge.check_answer(request)
--- a/tests/soak/disturbances.py
+++ b/tests/soak/disturbances.py
@@ -1,4 +1,4 @@
-"""When each part of a soak was disturbed, so that bounds in time are fair."""
+"""Records when each process was disturbed, so time bounds can be waived."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 STORE = "store"
 HARNESS = "harness"
 
-OPEN_END = float("inf")
+NOT_ENDED = float("inf")
 
 
 @dataclasses.dataclass(slots=True)
 class Disturbance:
-    """A fault on a part, from its start to its end.
+    """A fault of a process, from its start to its end.
 
     Attributes:
-        is_planned: A stop by SIGTERM, which must harm no request.
+        is_planned: Whether it is a stop by SIGTERM, which must harm no request.
     """
 
     target: str
     what: str
     start: float
-    end: float = OPEN_END
+    end: float = NOT_ENDED
     is_planned: bool = False
 
 
@@ -42,34 +42,34 @@
     def begin(
         self, target: str, what: str, is_planned: bool = False
     ) -> Disturbance:
-        begun = Disturbance(
+        disturbance = Disturbance(
             target, what, time.monotonic(), is_planned=is_planned
         )
-        self.all.append(begun)
-        return begun
+        self.all.append(disturbance)
+        return disturbance
 
     def note(self, target: str, what: str) -> None:
-        """Notes something that took no time, as a start."""
-        begun = self.begin(target, what)
-        begun.end = begun.start
+        """Records an instantaneous event, such as a start."""
+        disturbance = self.begin(target, what)
+        disturbance.end = disturbance.start
 
     @contextlib.contextmanager
     def during(self, target: str, what: str) -> Iterator[None]:
-        begun = self.begin(target, what)
+        disturbance = self.begin(target, what)
         try:
             yield
         finally:
-            begun.end = time.monotonic()
+            disturbance.end = time.monotonic()
 
-    def calm(
+    def is_undisturbed(
         self,
         targets: set[str],
         start: float,
         end: float,
         is_stop_allowed: bool = False,
     ) -> bool:
-        """Returns whether parts were undisturbed, and before it too."""
-        start -= layout.CONTACT_S
+        """Returns whether targets were undisturbed then and shortly before."""
+        start -= layout.SETTLE_S
         return not any(
             d.target in targets
             and d.start <= end
@@ -78,13 +78,13 @@
             for d in self.all
         )
 
-    def in_touch(
+    def bounds_apply(
         self,
         node: str,
         start: float,
         end: float,
         is_stop_allowed: bool = False,
     ) -> bool:
-        """Returns whether bounds in time hold for a node."""
+        """Returns whether time bounds apply to a node."""
         targets = {node, STORE, HARNESS}
-        return self.calm(targets, start, end, is_stop_allowed)
+        return self.is_undisturbed(targets, start, end, is_stop_allowed)
--- a/tests/soak/engine_process.py
+++ b/tests/soak/engine_process.py
@@ -1,4 +1,4 @@
-"""One engine as a process of its own, with an account of what reaches it."""
+"""An engine in its own process, with a ledger of the requests it receives."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 from tests.soak import ledger
 from tests.soak import store_process
 
-BEAT_S = 0.5
-POLL_S = 0.1
-ASK_S = 0.5
-STALL_S = 3.0
-"""A stream that waits for an engine for so long is cut by the first one."""
+HEARTBEAT_INTERVAL_S = 0.5
+POLL_INTERVAL_S = 0.1
+REQUEST_TIMEOUT_S = 0.5
+PATH_WAIT_TIMEOUT_S = 3.0
+"""After waiting this long for a path, the first engine cuts a stream."""
 
 STATE_PATH = "/soak/state"
 CONTROL_PATH = "/soak/control"
@@ -35,7 +35,7 @@
 
 @dataclasses.dataclass(slots=True)
 class OtherEngine:
-    """What an engine knows of another on the path of its streams."""
+    """What an engine knows of another engine on its streams' paths."""
 
     is_dead: bool = False
     is_full: bool = False
@@ -45,12 +45,12 @@
 
 
 class SoakEngine(standin_engines.StandinEngine):
-    """The stand-in at a given address; the others live in other processes.
+    """A stand-in engine at a given address; each has its own process.
 
     Attributes:
-        public: Where others connect: a proxy before this process.
-        state: What the registry says of it.
-        serves_on_s: How long it serves after the store took its leave.
+        public: Address that others connect to, that of a proxy.
+        state: Its state in the registry.
+        serves_on_s: How long it serves after the store recorded its leaving.
     """
 
     def __init__(self, options: argparse.Namespace) -> None:
@@ -59,7 +59,7 @@
         self.options = options
         self.address = options.public
         self.born = time.time_ns() // 1_000_000
-        self.gap_s = layout.EVENT_S
+        self.gap_s = layout.EVENT_INTERVAL_S
         self.state = "ready"
         self.serves_on_s = 0.0
         self.ledger = ledger.LedgerFile(pathlib.Path(options.ledger))
@@ -89,25 +89,27 @@
         self.server = httpserver.HTTPServer(application)
         self.server.add_sockets(netutil.bind_sockets(int(port), host))
 
-    def note(self, what: ledger.What, **more: Any) -> None:
+    def record(self, what: ledger.RowKind, **more: Any) -> None:
         row = ledger.Row(time.monotonic(), what, self.instance, **more)
         self.ledger.write(row)
 
-    async def report_life(self) -> None:
-        """Tells the store that it lives, and at once what has changed."""
+    async def send_heartbeats(self) -> None:
+        """Sends heartbeats to the store, at once after a change of state."""
         while True:
             self.changed.clear()
             is_leaving = self.state != "ready"
-            if await self.beat() and is_leaving:
-                self.note(ledger.What.LEFT)
+            if await self.send_heartbeat() and is_leaving:
+                self.record(ledger.RowKind.LEFT)
                 await asyncio.sleep(self.serves_on_s)
                 os._exit(0)
             try:
-                await asyncio.wait_for(self.changed.wait(), BEAT_S)
+                await asyncio.wait_for(
+                    self.changed.wait(), HEARTBEAT_INTERVAL_S
+                )
             except TimeoutError:
                 continue
 
-    async def beat(self) -> bool:
+    async def send_heartbeat(self) -> bool:
         entry: Any = None
         if self.state != "gone":
             options = self.options
@@ -115,37 +117,38 @@
         body = {"instance": self.instance, "entry": entry}
         try:
             await self.http.fetch(
-                f"http://{self.options.store}{store_process.BEAT_PATH}",
+                f"http://{self.options.store}{store_process.HEARTBEAT_PATH}",
                 method="POST",
                 body=json.dumps(body),
-                request_timeout=ASK_S,
+                request_timeout=REQUEST_TIMEOUT_S,
             )
         except (OSError, httpclient.HTTPError):
             return False
         return True
 
-    async def watch_others(self) -> None:
-        """Keeps what it knows of the engines on its paths current."""
+    async def poll_other_engines(self) -> None:
+        """Polls the state of the engines on its paths."""
         while True:
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             runs = list(self.running.values())
-            await self.ask_all({part[0] for run in runs for part in run.path})
+            await self.query_all({part[0] for run in runs for part in run.path})
 
-    async def ask_all(self, addresses: set[str]) -> None:
+    async def query_all(self, addresses: set[str]) -> None:
         others = addresses - {self.address}
-        await asyncio.gather(*(self.ask(address) for address in others))
+        await asyncio.gather(*(self.query(address) for address in others))
 
-    async def ask(self, address: str) -> None:
+    async def query(self, address: str) -> None:
         try:
             response = await self.http.fetch(
-                f"http://{address}{STATE_PATH}", request_timeout=ASK_S
+                f"http://{address}{STATE_PATH}",
+                request_timeout=REQUEST_TIMEOUT_S,
             )
-            said = json.loads(response.body)
-            layers = tuple(said["layers"]) if said["layers"] else None
-            known = OtherEngine(layers=layers, born=said["born"])
+            reported = json.loads(response.body)
+            layers = tuple(reported["layers"]) if reported["layers"] else None
+            known = OtherEngine(layers=layers, born=reported["born"])
         except (OSError, httpclient.HTTPError):
-            former = self.world.engines.get(address)
-            known = OtherEngine(True, born=former.born if former else 0)
+            previous = self.world.engines.get(address)
+            known = OtherEngine(True, born=previous.born if previous else 0)
         self.world.engines[address] = known  # type: ignore[assignment]
 
 
@@ -173,10 +176,10 @@
         order = json.loads(self.request.body)
         if order["op"] == "repath":
             parts = standin_engines.parse_path(order["path"])
-            await self.engine.ask_all({part[0] for part in parts})
+            await self.engine.query_all({part[0] for part in parts})
         else:
             held = order["to"] - order["from"]
-            self.engine.note(ledger.What.ORDERED, layers=held)
+            self.engine.record(ledger.RowKind.ORDERED, layers=held)
         super().post()
 
 
@@ -184,23 +187,23 @@
     engine: SoakEngine
 
     async def work(self) -> None:
-        self.note(ledger.What.ARRIVED)
+        self.record(ledger.RowKind.ARRIVED)
         path = self.request.headers.get(names.PATH, "")
         parts = standin_engines.parse_path(path)
-        await self.engine.ask_all({part[0] for part in parts})
+        await self.engine.query_all({part[0] for part in parts})
         await super().work()
 
     async def plain(self) -> None:
-        self.note(ledger.What.RAN)
+        self.record(ledger.RowKind.RAN)
         await super().plain()
 
     async def stream(self, path: list[tuple[str, int, int]]) -> None:
-        self.note(ledger.What.RAN)
+        self.record(ledger.RowKind.RAN)
         await super().stream(path)
 
-    def note(self, what: ledger.What) -> None:
+    def record(self, what: ledger.RowKind) -> None:
         fields = self.request.headers
-        self.engine.note(
+        self.engine.record(
             what,
             request_id=fields.get(names.REQUEST_ID, ""),
             method=self.request.method or "",
@@ -218,7 +221,9 @@
         events = int(usage.partition(",")[2])
         for number in range(after + 1, events + 1):
             try:
-                await asyncio.wait_for(self.wait_for_path(run), STALL_S)
+                await asyncio.wait_for(
+                    self.wait_for_path(run), PATH_WAIT_TIMEOUT_S
+                )
             except TimeoutError:
                 self.cut()
                 return
@@ -236,14 +241,14 @@
 
 
 def event(request_id: str, number: int) -> bytes:
-    """Returns an event of a stream, which names its request."""
+    """Returns an event of a stream, which includes the request id."""
     return f"id: {number}\ndata: {request_id} {number}\n\n".encode()
 
 
 async def run(options: argparse.Namespace) -> None:
     engine = SoakEngine(options)
     await engine.start()
-    await asyncio.gather(engine.report_life(), engine.watch_others())
+    await asyncio.gather(engine.send_heartbeats(), engine.poll_other_engines())
 
 
 if __name__ == "__main__":
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults from outside, drawn from a seed as overlapping series."""
+"""External faults, drawn from a seed as overlapping series."""
 
 from __future__ import annotations
 
@@ -30,13 +30,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Fault(abc.ABC):
-    """Something that happens once.
+    """A fault that is injected once.
 
     Attributes:
         at_s: Seconds after the start of the faults.
-        pick: Which target, as a share of those that there are then.
-        lasts_s: How long, if it lasts.
-        shape: Draws the variant, as a share of those that there are.
+        pick: Selects the target, as a share of those present at the time.
+        lasts_s: How long it lasts, unless it is instantaneous.
+        shape: Selects the variant, as a share of all variants.
     """
 
     at_s: float
@@ -46,23 +46,25 @@
 
     @abc.abstractmethod
     async def inject(self, system: soak_system.SoakSystem) -> None:
-        """Injects the fault and takes it back when its time is over."""
+        """Injects the fault and reverts it after ``lasts_s``."""
 
-    def node(self, system: soak_system.SoakSystem) -> soak_system.NodePart:
-        return chosen(system.nodes, self.pick)
+    def node(self, system: soak_system.SoakSystem) -> soak_system.NodeProcess:
+        return pick_by_share(system.nodes, self.pick)
 
-    def engine(self, system: soak_system.SoakSystem) -> soak_system.EnginePart:
-        return chosen(system.engines, self.pick)
+    def engine(
+        self, system: soak_system.SoakSystem
+    ) -> soak_system.EngineProcess:
+        return pick_by_share(system.engines, self.pick)
 
 
-def chosen(options: Sequence[T], share: float) -> T:
+def pick_by_share(options: Sequence[T], share: float) -> T:
     return options[int(share * len(options))]
 
 
 class StopNode(Fault):
-    """SIGTERM; the process is started again after it ended.
+    """SIGTERM; the process is restarted after it exits.
 
-    The first one counts: a node that is asked again has no more time.
+    Only the first one counts: another SIGTERM doesn't extend the grace period.
     """
 
     async def inject(self, system: soak_system.SoakSystem) -> None:
@@ -82,7 +84,7 @@
 
 
 class KillNodes(Fault):
-    """Many processes end at the same moment."""
+    """Kills several nodes at the same moment."""
 
     async def inject(self, system: soak_system.SoakSystem) -> None:
         count = max(1, int(self.shape * len(system.nodes) + 1))
@@ -91,7 +93,7 @@
 
 
 def kill_node(
-    system: soak_system.SoakSystem, node: soak_system.NodePart
+    system: soak_system.SoakSystem, node: soak_system.NodeProcess
 ) -> None:
     system.disturbances.note(node.name, "kill")
     node.kill()
@@ -105,7 +107,7 @@
 
 
 class PauseEngine(Fault):
-    """An engine falls silent and comes back as it was."""
+    """An engine is paused and resumes with its state intact."""
 
     async def inject(self, system: soak_system.SoakSystem) -> None:
         await pause(system, self.engine(system), self.lasts_s)
@@ -117,7 +119,9 @@
 
 
 async def pause(
-    system: soak_system.SoakSystem, part: soak_system.Part, seconds: float
+    system: soak_system.SoakSystem,
+    part: soak_system.SupervisedProcess,
+    seconds: float,
 ) -> None:
     with system.disturbances.during(part.name, "pause"):
         part.signal(signal.SIGSTOP)
@@ -126,28 +130,30 @@
 
 
 class ReloadNode(Fault):
-    """The settings change and SIGHUP says so."""
+    """The settings change, followed by SIGHUP."""
 
     async def inject(self, system: soak_system.SoakSystem) -> None:
         node = self.node(system)
-        node.settings["log_lines"] = chosen([100, 400, 1000], self.shape)
+        node.settings["log_lines"] = pick_by_share([100, 400, 1000], self.shape)
         system.write_settings(node)
         node.signal(signal.SIGHUP)
 
 
 class LinkFault(Fault):
-    """A connection is reset, delayed or silent, both ways or one way."""
+    """A link is reset, delayed or silenced in one or both directions."""
 
     @abc.abstractmethod
     def link(
         self, system: soak_system.SoakSystem
     ) -> tuple[str, fault_proxy.FaultProxy | None]:
-        """Returns whom it disturbs, and the proxy."""
+        """Returns the name of the disturbed process and the link's proxy."""
 
     async def inject(self, system: soak_system.SoakSystem) -> None:
         name, link = self.link(system)
         assert link is not None
-        effect = chosen(["reset", "delay", "up", "down", "both"], self.shape)
+        effect = pick_by_share(
+            ["reset", "delay", "up", "down", "both"], self.shape
+        )
         with system.disturbances.during(name, f"link {effect}"):
             if effect == "reset":
                 link.cut()
@@ -191,7 +197,7 @@
 
 
 class StoreFault(Fault):
-    """The store turns all away, is silent, loses answers or history."""
+    """The store refuses or ignores requests, or loses answers or history."""
 
     VARIANTS: tuple[dict[str, Any], ...] = (
         {"refuses": 503},
@@ -202,13 +208,13 @@
     )
 
     async def inject(self, system: soak_system.SoakSystem) -> None:
-        switches = chosen(self.VARIANTS, self.shape)
-        await self.switch(system, switches)
+        switches = pick_by_share(self.VARIANTS, self.shape)
+        await self.set_faults(system, switches)
         with system.disturbances.during(disturbances.STORE, str(switches)):
             await asyncio.sleep(self.lasts_s)
-            await self.switch(system, {})
+            await self.set_faults(system, {})
 
-    async def switch(
+    async def set_faults(
         self, system: soak_system.SoakSystem, switches: dict[str, Any]
     ) -> None:
         address = system.network.store()
@@ -216,7 +222,7 @@
 
 
 class SlowStore(Fault):
-    """All nodes' calls of the store take long."""
+    """All calls from nodes to the store are slow."""
 
     async def inject(self, system: soak_system.SoakSystem) -> None:
         links = [node.store_link for node in system.nodes if node.store_link]
@@ -229,7 +235,7 @@
 
 
 class KillEngine(Fault):
-    """The engine starts again under its name, empty."""
+    """The engine restarts under the same name, without its state."""
 
     async def inject(self, system: soak_system.SoakSystem) -> None:
         engine = self.engine(system)
@@ -238,46 +244,50 @@
 
 
 class LeavingEngine(Fault):
-    """An engine leaves, with or without saying so; another one comes."""
+    """An engine leaves, announced or not, and is replaced."""
 
     async def inject(self, system: soak_system.SoakSystem) -> None:
         engine = self.engine(system)
         if engine.leaves_at:
             return
         engine.leaves_at = time.monotonic()
-        state = chosen(["draining", "gone"], self.shape)
+        state = pick_by_share(["draining", "gone"], self.shape)
         serves_on_s = layout.DRAIN_S + 0.5 + self.lasts_s
-        told = {"state": state, "serves_on_s": serves_on_s}
-        await control(system, engine, told)
+        attributes = {"state": state, "serves_on_s": serves_on_s}
+        await set_attributes(system, engine, attributes)
 
 
 class FailingEngine(Fault):
-    """An engine cuts streams inside events, or loses answers."""
+    """An engine cuts streams within events, or loses answers."""
 
     async def inject(self, system: soak_system.SoakSystem) -> None:
         engine = self.engine(system)
         failing = {"cut_after": int(1 + self.shape * 30), "resets": True}
         with system.disturbances.during(engine.name, "fails"):
-            await control(system, engine, failing)
+            await set_attributes(system, engine, failing)
             await asyncio.sleep(self.lasts_s)
-            await control(system, engine, {"cut_after": -1, "resets": False})
+            await set_attributes(
+                system, engine, {"cut_after": -1, "resets": False}
+            )
 
 
-async def control(
+async def set_attributes(
     system: soak_system.SoakSystem,
-    engine: soak_system.EnginePart,
+    engine: soak_system.EngineProcess,
     attributes: dict[str, Any],
 ) -> None:
     await system.post(engine.listen, engine_process.CONTROL_PATH, attributes)
 
 
 class ChangeConfiguration(Fault):
-    """The operator adds a route, drops one or gives an account another key."""
+    """The operator adds or removes a route, or rotates an account's key."""
 
     async def inject(self, system: soak_system.SoakSystem) -> None:
         async with system.writing:
-            alter = chosen([add_route, drop_route, rotate_key], self.shape)
-            expected = alter(system.configuration)
+            change = pick_by_share(
+                [add_route, drop_route, rotate_key], self.shape
+            )
+            expected = change(system.configuration)
             system.configuration.version += 1 + int(self.pick * 5)
             acked_at = await system.write_configuration()
         version = system.configuration.version
@@ -292,31 +302,31 @@
             )
 
 
-ExpectedOf = list[tuple[str, str, callers.Expected]]
-"""Routes and keys, with what is expected of requests with them."""
+ExpectedResults = list[tuple[str, str, callers.Expected]]
+"""Routes and keys, with the expected result of requests that use them."""
 
 
-def add_route(configuration: layout.Configuration) -> ExpectedOf:
+def add_route(configuration: layout.Configuration) -> ExpectedResults:
     configuration.routes_made += 1
     number = configuration.routes_made
     configuration.extra_routes.append(number)
     return [(f"extra{number}", layout.STEADY_KEY, callers.Expected.ADDED)]
 
 
-def drop_route(configuration: layout.Configuration) -> ExpectedOf:
+def drop_route(configuration: layout.Configuration) -> ExpectedResults:
     if not configuration.extra_routes:
         return add_route(configuration)
     number = configuration.extra_routes.pop(0)
     return [(f"extra{number}", layout.STEADY_KEY, callers.Expected.DENIED)]
 
 
-def rotate_key(configuration: layout.Configuration) -> ExpectedOf:
-    former = configuration.rotating_key()
+def rotate_key(configuration: layout.Configuration) -> ExpectedResults:
+    former_key = configuration.rotating_key()
     configuration.key_number += 1
-    present = configuration.rotating_key()
+    new_key = configuration.rotating_key()
     return [
-        ("look", former, callers.Expected.DENIED),
-        ("look", present, callers.Expected.ADDED),
+        ("look", former_key, callers.Expected.DENIED),
+        ("look", new_key, callers.Expected.ADDED),
     ]
 
 
@@ -328,7 +338,7 @@
     ChangeConfiguration,
     ChangeConfiguration,
 )
-"""What operators do; it must harm no request."""
+"""Operators' actions, which must harm no request."""
 
 UNPLANNED: tuple[type[Fault], ...] = (
     KillNode,
@@ -348,23 +358,23 @@
     FailingEngine,
 )
 
-PLANNED_ONLY = 0.3
-"""Share of seeds without unplanned faults, so that what a node promises
-beside planned work is checked undisturbed."""
+PLANNED_ONLY_PROBABILITY = 0.3
+"""Share of seeds with planned faults only, which check the guarantees for
+planned work without other disturbances."""
 
 SECONDS_PER_SERIES = 4.0
 PROCESSES_PER_SERIES = 14
-FEWEST_SERIES = 6
-MOST_IN_SERIES = 4
+MIN_SERIES = 6
+MAX_FAULTS_IN_SERIES = 4
 
 
 def draw(rng: random.Random, options: layout.SoakOptions) -> list[Fault]:
     """Draws all faults of a soak, in series that overlap."""
-    is_planned_only = rng.random() < PLANNED_ONLY
+    is_planned_only = rng.random() < PLANNED_ONLY_PROBABILITY
     kinds = PLANNED if is_planned_only else PLANNED + UNPLANNED
     size = (options.nodes + options.engines) / PROCESSES_PER_SERIES
     count = round(options.seconds / SECONDS_PER_SERIES * size)
-    count = max(FEWEST_SERIES, count)
+    count = max(MIN_SERIES, count)
     found: list[Fault] = []
     for _ in range(count):
         found += draw_series(rng, kinds, options.seconds)
@@ -374,16 +384,16 @@
 def draw_series(
     rng: random.Random, kinds: tuple[type[Fault], ...], seconds: float
 ) -> list[Fault]:
-    """Draws faults of one kind that follow each other."""
+    """Draws consecutive faults of one kind."""
     kind = rng.choice(kinds)
     at_s = rng.uniform(0.0, seconds)
     gap_s = rng.choice([0.05, 0.5, 1.0, 3.0])
     pick = rng.random()
-    stays = rng.random() < 0.4
+    keeps_target = rng.random() < 0.4
     series = []
-    for _ in range(rng.randint(1, MOST_IN_SERIES)):
+    for _ in range(rng.randint(1, MAX_FAULTS_IN_SERIES)):
         lasts_s = rng.choice([0.2, 0.8, 2.0, 4.0, 7.0])
         series.append(kind(at_s, pick, lasts_s, rng.random()))
         at_s += gap_s * rng.uniform(0.5, 1.5)
-        pick = pick if stays else rng.random()
+        pick = pick if keeps_target else rng.random()
     return [fault for fault in series if fault.at_s < seconds]
--- a/tests/soak/judge.py
+++ b/tests/soak/judge.py
@@ -1,4 +1,4 @@
-"""Checks the promises to callers and engines while a soak runs."""
+"""Checks the guarantees to callers and engines while a soak runs."""
 
 from __future__ import annotations
 
@@ -19,24 +19,24 @@
     from tests.soak import disturbances
 
 NOT_RUN = frozenset({408, 421, 429, 503})
-"""Answers that promise that the request has not run and never will."""
+"""Statuses which guarantee that the request has not run and never will."""
 
 ALLOWED = callers.Expected.ALLOWED
 
-UNREAD_S = 0.5
-"""A node has read a request surely after so long: the promise is 0.2 s, the
-rest is for a loaded machine. A close that crosses a request is no fault."""
+MAX_READ_DELAY_S = 0.5
+"""A node must have read a request after this time: the guarantee is 0.2 s, the
+rest allows for a loaded machine. A close that crosses a request is no fault."""
 
-USED_SHARE = 0.7
-"""A request that has used this share of its time may be broken off."""
+ABORT_ALLOWED_SHARE = 0.7
+"""A request that has used this share of its deadline may be aborted."""
 
-EXIT_SEEN_S = 0.2
-"""The exit of an engine, which cuts its answers, is seen so long after it."""
+EXIT_DETECTION_S = 0.2
+"""Time until the exit of an engine, which cuts its answers, is detected."""
 
-LATE_IN_GRACE = 5 / 6
-EARLY_IN_GRACE_S = 3.0
-"""A stopping node may cut what still runs in the last sixth of its grace, if
-it was sent within the first seconds of it; later ones it must not take."""
+ABORT_PHASE_START = 5 / 6
+ACCEPT_PHASE_S = 3.0
+"""In the last sixth of its grace period a stopping node may cut requests that
+were sent in its first seconds; it must not accept later ones."""
 
 
 class Promise(enum.StrEnum):
@@ -63,7 +63,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Violation:
-    """A promise that was seen broken.
+    """A guarantee that was violated.
 
     Attributes:
         at_s: Seconds since the start of the soak.
@@ -76,20 +76,20 @@
 
 @dataclasses.dataclass(slots=True)
 class Work:
-    """What engines saw of one request."""
+    """The ledger rows of one request."""
 
     arrived: list[ledger.Row] = dataclasses.field(default_factory=list)
     ran: list[ledger.Row] = dataclasses.field(default_factory=list)
 
 
 class Judge:
-    """Holds all requests against all ledgers.
+    """Checks all requests against all ledgers.
 
     Attributes:
-        counts: Requests by how they ended.
-        refused: Requests that were called not run, by their id.
+        counts: Number of requests by outcome.
+        refused: Ids of requests that were reported as not run.
         refused_after_run: Idempotent requests that ran and were refused.
-        undisturbed: Requests at nodes for which all bounds held.
+        undisturbed: Number of requests to which all time bounds applied.
     """
 
     def __init__(self, system: soak_system.SoakSystem) -> None:
@@ -98,40 +98,49 @@
         self.violations: list[Violation] = []
         self.requests: dict[str, callers.SentRequest] = {}
         self.work: dict[str, Work] = collections.defaultdict(Work)
-        self.left: dict[str, float] = {}
+        self.left_at: dict[str, float] = {}
         self.counts: collections.Counter[str] = collections.Counter()
         self.refused: set[str] = set()
         self.refused_after_run = 0
         self.undisturbed = 0
-        system.on_end = self.ended
+        system.on_exit = self.check_exit
 
-    def found(self, promise: Promise, detail: str, at: float = 0.0) -> None:
+    def report_violation(
+        self, promise: Promise, detail: str, at: float = 0.0
+    ) -> None:
         at_s = round((at or time.monotonic()) - self.started, 3)
         self.violations.append(Violation(promise, at_s, detail))
 
     def history(self) -> disturbances.Disturbances:
         return self.system.disturbances
 
-    def sending(self, request: callers.SentRequest) -> None:
+    def record_sent(self, request: callers.SentRequest) -> None:
         self.requests[request.request_id] = request
 
-    def resolved(self, node: str, addresses: list[str]) -> None:
+    def check_directory(self, node: str, addresses: list[str]) -> None:
         entries = {part.entry for part in self.system.nodes}
         unknown = set(addresses) - entries
         if unknown:
-            self.found(Promise.ANSWER, f"{node} named {unknown}")
+            self.report_violation(
+                Promise.ANSWER, f"{node} listed unknown {unknown}"
+            )
 
     def stray_bytes(self, node: str, content: bytes) -> None:
-        self.found(Promise.ANSWER, f"{node} sent {content!r} unasked")
+        self.report_violation(
+            Promise.ANSWER, f"{node} sent unsolicited {content!r}"
+        )
 
-    def answered(self, request: callers.SentRequest) -> None:
-        """Checks an answer as far as it came."""
+    def check_answer(self, request: callers.SentRequest) -> None:
+        """Checks the part of an answer that was received."""
         self.counts[outcome(request)] += 1
         if request.status == 0:
             return
         echoed = request.fields.get("x-request-id", request.request_id)
         if echoed != request.request_id:
-            self.found(Promise.ANSWER, f"{shown(request)} got that of {echoed}")
+            self.report_violation(
+                Promise.ANSWER,
+                f"{describe(request)} got the answer to {echoed}",
+            )
         if request.status == 200:
             self.check_success(request)
         else:
@@ -139,7 +148,9 @@
 
     def check_success(self, request: callers.SentRequest) -> None:
         if "x-engine-signature" not in request.fields:
-            self.found(Promise.ANSWER, f"{shown(request)} has no signature")
+            self.report_violation(
+                Promise.ANSWER, f"{describe(request)} has no signature"
+            )
         expected = expected_body(request)
         is_whole = request.ending is callers.Ending.WHOLE
         if is_whole and request.body == expected:
@@ -149,21 +160,26 @@
         promise = Promise.STREAM if request.is_stream() else Promise.ANSWER
         seen = f"{len(request.body)} of {len(expected)} bytes"
         tail = request.body[-80:]
-        self.found(promise, f"{shown(request)}: {seen}, end {tail!r}")
+        self.report_violation(
+            promise, f"{describe(request)}: {seen}, end {tail!r}"
+        )
 
     def check_failure(self, request: callers.SentRequest) -> None:
         if "x-engine-signature" in request.fields:
-            self.found(Promise.ANSWER, f"{shown(request)} bears a signature")
+            self.report_violation(
+                Promise.ANSWER,
+                f"{describe(request)} failed but has a signature",
+            )
         if request.status in NOT_RUN:
             self.refused.add(request.request_id)
             self.check_refusal(request)
         elif request.status == 500:
-            self.found(Promise.INTERNAL, shown(request))
+            self.report_violation(Promise.INTERNAL, describe(request))
         elif request.status < 500 and request.expected is ALLOWED:
-            self.found(Promise.ALLOWED, shown(request))
+            self.report_violation(Promise.ALLOWED, describe(request))
 
     def check_refusal(self, request: callers.SentRequest) -> None:
-        """Holds a refusal against what has run, now or later."""
+        """Checks a refusal against runs before and after it."""
         if request.request_id not in self.refused:
             return
         if not self.work[request.request_id].ran:
@@ -171,37 +187,39 @@
         if request.is_idempotent():
             self.refused_after_run += 1
         else:
-            self.found(Promise.REFUSED, f"{shown(request)} ran")
+            self.report_violation(Promise.REFUSED, f"{describe(request)} ran")
 
-    def take_rows(self, rows: list[ledger.Row]) -> None:
+    def process_rows(self, rows: list[ledger.Row]) -> None:
         for row in rows:
-            if row.what is ledger.What.LEFT:
-                self.left.setdefault(row.engine, row.at)
-            elif row.what is ledger.What.ORDERED:
+            if row.what is ledger.RowKind.LEFT:
+                self.left_at.setdefault(row.engine, row.at)
+            elif row.what is ledger.RowKind.ORDERED:
                 self.check_order(row)
             else:
-                self.take_work(row)
+                self.process_work(row)
 
     def check_order(self, row: ledger.Row) -> None:
         if row.layers * layout.LAYER_MB > layout.ENGINE_MB:
             detail = f"{row.engine}: {row.layers} layers"
-            self.found(Promise.ORDERS, detail, row.at)
+            self.report_violation(Promise.ORDERS, detail, row.at)
 
-    def take_work(self, row: ledger.Row) -> None:
+    def process_work(self, row: ledger.Row) -> None:
         request = self.requests.get(row.request_id)
         if request is None:
-            detail = f"{row.engine} got {row.request_id!r} of nobody"
-            self.found(Promise.UNCHANGED, detail, row.at)
+            detail = f"{row.engine} got unknown request {row.request_id!r}"
+            self.report_violation(Promise.UNCHANGED, detail, row.at)
             return
         work = self.work[row.request_id]
-        if row.what is ledger.What.ARRIVED:
+        if row.what is ledger.RowKind.ARRIVED:
             work.arrived.append(row)
             self.check_arrival(request, row)
             return
         work.ran.append(row)
         if len(work.ran) > 1 and not request.is_idempotent():
-            where = [run.engine for run in work.ran]
-            self.found(Promise.ONCE, f"{shown(request)} ran on {where}", row.at)
+            engines = [run.engine for run in work.ran]
+            self.report_violation(
+                Promise.ONCE, f"{describe(request)} ran on {engines}", row.at
+            )
         self.check_refusal(request)
         self.check_path(request, row)
 
@@ -214,46 +232,51 @@
         )
         got = (row.method, row.target, row.account, row.has_key, row.body)
         if got != wanted:
-            detail = f"{row.engine} got {got}, sent was {wanted}"
-            self.found(Promise.UNCHANGED, detail, row.at)
+            detail = f"{row.engine} got {got}, expected {wanted}"
+            self.report_violation(Promise.UNCHANGED, detail, row.at)
 
     def check_path(self, request: callers.SentRequest, row: ledger.Row) -> None:
         if not request.is_stream():
             return
-        following = 0
+        next_layer = 0
         for _, start, end in row.parts:
-            if start != following:
+            if start != next_layer:
                 break
-            following = end
-        if following != layout.LAYERS:
-            detail = f"{shown(request)} over {row.parts}"
-            self.found(Promise.LAYERS, detail, row.at)
+            next_layer = end
+        if next_layer != layout.LAYERS:
+            detail = f"{describe(request)} over {row.parts}"
+            self.report_violation(Promise.LAYERS, detail, row.at)
 
-    def ended(self, part: soak_system.Part, code: int) -> None:
-        """Judges the end of a process.
+    def check_exit(
+        self, part: soak_system.SupervisedProcess, code: int
+    ) -> None:
+        """Checks the exit of a process.
 
-        One that was stopped before it could take signals took no requests.
+        A node that got SIGTERM before it could handle signals had accepted no
+        requests.
         """
         self.history().note(part.name, "exit")
-        if isinstance(part, soak_system.EnginePart) and part.leaves_at:
+        if isinstance(part, soak_system.EngineProcess) and part.leaves_at:
             return
-        if not part.ends:
+        if not part.exit_reasons:
             assert part.process is not None
             detail = f"{part.name} ended with {code}: {part.process.log()}"
-            self.found(Promise.ENDS, detail)
+            self.report_violation(Promise.ENDS, detail)
             return
-        if not isinstance(part, soak_system.NodePart) or not part.stopped_at:
+        if not isinstance(part, soak_system.NodeProcess) or not part.stopped_at:
             return
         now = time.monotonic()
-        if not self.history().in_touch(part.name, part.stopped_at, now, True):
+        if not self.history().bounds_apply(
+            part.name, part.stopped_at, now, True
+        ):
             return
         took_s = round(now - part.stopped_at, 2)
-        was_starting = now - part.stopped_at < layout.LEAST_STOP_S
+        was_starting = now - part.stopped_at < layout.MIN_STOP_S
         if was_starting and code == -signal.SIGTERM:
             return
         if part.was_killed or code:
             detail = f"{part.name} ended with {code} after {took_s} s"
-            self.found(Promise.STOP, detail)
+            self.report_violation(Promise.STOP, detail)
 
     def check_memory(self) -> None:
         for node in self.system.nodes:
@@ -262,12 +285,12 @@
             node.peak_mb = max(node.peak_mb, held_mb)
             if is_new:
                 detail = f"{node.name} holds {held_mb:.0f} MB"
-                self.found(Promise.MEMORY, detail)
+                self.report_violation(Promise.MEMORY, detail)
 
     def finish(self) -> None:
-        """Checks what needs the whole history of disturbances."""
+        """Runs the checks that need the complete history of disturbances."""
         for request in list(self.requests.values()):
-            self.undisturbed += self.history().in_touch(
+            self.undisturbed += self.history().bounds_apply(
                 request.node, request.sent_at, request.ended_at, True
             )
             if request.ending is callers.Ending.CUT:
@@ -275,10 +298,10 @@
             elif request.ending is callers.Ending.UNANSWERED:
                 self.check_hang(request)
             self.check_leaving(request)
-            self.check_configured(request)
+            self.check_config(request)
 
-    def check_configured(self, request: callers.SentRequest) -> None:
-        """Checks that the newest configuration decided on a request."""
+    def check_config(self, request: callers.SentRequest) -> None:
+        """Checks that the newest configuration was applied to a request."""
         ran = bool(self.work[request.request_id].ran)
         is_old = {
             callers.Expected.DENIED: ran,
@@ -286,50 +309,52 @@
         }
         if not is_old.get(request.expected, False):
             return
-        if self.history().in_touch(
+        if self.history().bounds_apply(
             request.node, request.acked_at, request.sent_at
         ):
             late_s = request.sent_at - request.acked_at
-            detail = f"{request.expected} {shown(request)}, ran: {ran}"
-            self.found(
+            detail = f"{request.expected} {describe(request)}, ran: {ran}"
+            self.report_violation(
                 Promise.CONFIG,
                 f"{detail}, {late_s:.2f} s after the ack",
                 request.ended_at,
             )
 
     def check_hang(self, request: callers.SentRequest) -> None:
-        if self.history().in_touch(
+        if self.history().bounds_apply(
             request.node, request.sent_at, request.ended_at
         ):
             waited_s = request.ended_at - request.sent_at
-            detail = f"{shown(request)} after {waited_s:.1f} s"
-            self.found(Promise.HANGS, detail, request.ended_at)
+            detail = f"{describe(request)} after {waited_s:.1f} s"
+            self.report_violation(Promise.HANGS, detail, request.ended_at)
 
     def check_cut(self, request: callers.SentRequest) -> None:
         took_s = request.ended_at - request.sent_at
-        if took_s >= USED_SHARE * request.deadline_s:
+        if took_s >= ABORT_ALLOWED_SHARE * request.deadline_s:
             return
         work = self.work[request.request_id]
-        if not work.arrived and took_s < UNREAD_S:
+        if not work.arrived and took_s < MAX_READ_DELAY_S:
             return
         history = self.history()
         start, end = request.sent_at, request.ended_at
-        if not history.in_touch(request.node, start, end, True):
+        if not history.bounds_apply(request.node, start, end, True):
             return
-        if not history.calm(self.engines_of(work), start, end + EXIT_SEEN_S):
+        if not history.is_undisturbed(
+            self.engines_of(work), start, end + EXIT_DETECTION_S
+        ):
             return
         stops = self.stops_before(request)
-        if any(may_cut(request, stop) for stop in stops):
+        if any(is_cut_allowed(request, stop) for stop in stops):
             return
         sent = [round(request.sent_at - stop, 2) for stop in stops[-1:]]
         detail = (
-            f"{shown(request)} cut after {took_s:.2f} s, sent so long after "
-            f"SIGTERM: {sent}, arrived {len(work.arrived)} times"
+            f"{describe(request)} cut after {took_s:.2f} s, seconds from SIGTERM "
+            f"to sending: {sent}, arrived {len(work.arrived)} times"
         )
-        self.found(Promise.CUT, detail, request.ended_at)
+        self.report_violation(Promise.CUT, detail, request.ended_at)
 
     def stops_before(self, request: callers.SentRequest) -> list[float]:
-        """Returns when the node was asked to stop shortly before the end."""
+        """Returns the times of SIGTERM to the node shortly before the end."""
         return [
             d.start
             for d in self.history().all
@@ -340,7 +365,7 @@
 
     def engines_of(self, work: Work) -> set[str]:
         addresses = {part[0] for row in work.arrived for part in row.parts}
-        engines = self.system.engines + self.system.former
+        engines = self.system.engines + self.system.departed
         named = {row.engine for row in work.arrived}
         return named | {
             e.name for e in engines if e.link and e.link.address in addresses
@@ -348,22 +373,24 @@
 
     def check_leaving(self, request: callers.SentRequest) -> None:
         for row in self.work[request.request_id].arrived:
-            left_at = self.left.get(row.engine, float("inf"))
+            left_at = self.left_at.get(row.engine, float("inf"))
             late_s = row.at - left_at
             if late_s <= layout.DRAIN_S:
                 continue
-            if self.history().in_touch(request.node, left_at, row.at):
-                detail = f"{row.engine} got {shown(request)} {late_s:.2f} s"
-                self.found(Promise.LEAVING, f"{detail} after it left", row.at)
+            if self.history().bounds_apply(request.node, left_at, row.at):
+                detail = f"{row.engine} got {describe(request)} {late_s:.2f} s"
+                self.report_violation(
+                    Promise.LEAVING, f"{detail} after it left", row.at
+                )
 
-    def served(self) -> int:
+    def served_count(self) -> int:
         return self.counts["200 whole"]
 
 
-def may_cut(request: callers.SentRequest, stop: float) -> bool:
-    """Returns whether a stop excuses that an answer was cut."""
-    is_late = request.ended_at >= stop + layout.GRACE_S * LATE_IN_GRACE
-    return is_late and request.sent_at <= stop + EARLY_IN_GRACE_S
+def is_cut_allowed(request: callers.SentRequest, stop: float) -> bool:
+    """Returns whether a graceful stop justifies that an answer was cut."""
+    is_late = request.ended_at >= stop + layout.GRACE_S * ABORT_PHASE_START
+    return is_late and request.sent_at <= stop + ACCEPT_PHASE_S
 
 
 def expected_body(request: callers.SentRequest) -> bytes:
@@ -379,7 +406,7 @@
     return f"{request.status} {request.ending}"
 
 
-def shown(request: callers.SentRequest) -> str:
+def describe(request: callers.SentRequest) -> str:
     return (
         f"{request.request_id} /{request.route}/ at {request.node} "
         f"({request.status} {request.ending})"
--- a/tests/soak/layout.py
+++ b/tests/soak/layout.py
@@ -17,27 +17,27 @@
 ZONES = ("za", "zb")
 
 GRACE_S = 8.0
-LEAST_STOP_S = 3.0
-"""A stopping node goes on serving for so long at least; for how much longer
-is left to the program's default, as in the deployed settings."""
+MIN_STOP_S = 3.0
+"""Minimum time for which a stopping node continues to serve. The actual time is
+the program's default, as in the deployed settings."""
 
 DRAIN_S = 2.0
-"""An engine gets nothing new so long after the store knows that it leaves."""
+"""Time after which a leaving engine gets no new work, once the store knows."""
 
 CONFIG_APPLY_S = 2.0
-"""A configuration is in force everywhere so long after its ack."""
+"""Time after the ack within which a configuration is in force everywhere."""
 
-CONTACT_S = 3.0
-"""Bounds in time hold for nodes that were undisturbed for so long."""
+SETTLE_S = 3.0
+"""Time without disturbance after which time bounds apply to a node."""
 
-RECOVER_S = 12.0
-"""Requests are served again so long after the last fault."""
+RECOVERY_LIMIT_S = 12.0
+"""Time after the last fault within which requests are served again."""
 
 NODE_MEMORY_MB = 300
-"""What a VM gives to a node; more than that ends it there."""
+"""Memory limit of a node on a VM; a node that exceeds it is killed there."""
 
-EVENT_S = 0.02
-"""Pause between two events of a stream, which hold one token each."""
+EVENT_INTERVAL_S = 0.02
+"""Interval between the events of a stream, which hold one token each."""
 
 LAYERS = 80
 LAYER_MB = 1750.0
@@ -46,7 +46,7 @@
 
 MAX_NODES = 100
 MAX_ENGINES = 150
-"""Each process has an address of its own in one network of 254."""
+"""Each process has its own address in one network of 254."""
 
 NODE_PORT = 8227
 READY_PORT = 8220
@@ -59,7 +59,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SoakOptions:
-    """How large a soak is, and its seed.
+    """Size and seed of a soak.
 
     Attributes:
         seconds: How long faults are injected.
@@ -85,8 +85,8 @@
 class Network:
     """Loopback addresses of one soak.
 
-    Soaks that run at once differ in the harness's process id, and so in
-    their network; other tests stay below 127.201.
+    The process id of the harness selects the network, so concurrent soaks use
+    different ones; other tests use addresses below 127.201.
     """
 
     def __init__(self, pid: int | None = None) -> None:
@@ -134,8 +134,8 @@
     """The operator's configuration, which changes during a soak.
 
     Attributes:
-        extra_routes: Numbers of the routes that come and go.
-        key_number: The number of the rotating account's key.
+        extra_routes: Numbers of the added routes that were not removed yet.
+        key_number: Number of the rotating account's current key.
     """
 
     version: int = 1
@@ -146,8 +146,8 @@
     def rotating_key(self) -> str:
         return f"key-rotating-{self.key_number}"
 
-    def wire(self) -> dict[str, Any]:
-        """Returns what the operator writes to the store."""
+    def to_wire(self) -> dict[str, Any]:
+        """Returns the row value that the operator writes to the store."""
         streams = {"kind": "streaming", "service": MODEL_SERVICE}
         plain = {"service": PLAIN_SERVICE}
         made = [
@@ -178,8 +178,8 @@
         "timeoutMs": 20_000,
         "targetLatencyMs": 500,
         "gapAimMs": 200,
-        # Two also where the kind of request allows one run only: the kind
-        # decides what runs again, not this number.
+        # Two even for routes whose kind allows only one run: the kind decides
+        # what is retried, not this number.
         "maxAttempts": 2,
         **more,
     }
@@ -190,7 +190,7 @@
 
 
 def model_service() -> dict[str, Any]:
-    step_ms = EVENT_S * 1000 / 2
+    step_ms = EVENT_INTERVAL_S * 1000 / 2
     return {
         "name": MODEL_SERVICE,
         "healthPath": standin_engines.HEALTH_PATH,
--- a/tests/soak/ledger.py
+++ b/tests/soak/ledger.py
@@ -1,4 +1,4 @@
-"""What engines note of the requests that reach them, one JSON line each."""
+"""Ledgers in which engines record their requests, as JSON lines."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
     import pathlib
 
 
-class What(enum.StrEnum):
-    """What an engine saw."""
+class RowKind(enum.StrEnum):
+    """The kind of a ledger row."""
 
     ARRIVED = "arrived"
     RAN = "ran"
@@ -22,19 +22,19 @@
 
 
 class Row(msgspec.Struct, omit_defaults=True):
-    """One line.
+    """A row of a ledger.
 
     Attributes:
-        at: Seconds of the machine's steady clock.
-        engine: Its name, also after a restart.
-        account: The account that the engine was told.
+        at: Seconds of the machine's monotonic clock.
+        engine: The engine's name, which a restart keeps.
+        account: The account that was passed to the engine.
         has_key: Whether a client's key was passed on.
-        parts: Engines' addresses with first and last layer.
-        layers: Layers that an order asks to hold.
+        parts: The path: addresses of engines with their start and end layer.
+        layers: Number of layers that an order assigns.
     """
 
     at: float
-    what: What
+    what: RowKind
     engine: str
     request_id: str = ""
     method: str = ""
@@ -51,7 +51,7 @@
 
 
 class LedgerFile:
-    """Appends rows; each is whole also if the process is killed after it."""
+    """Appends rows; each is complete even if the process is killed next."""
 
     def __init__(self, path: pathlib.Path) -> None:
         flags = os.O_WRONLY | os.O_CREAT | os.O_APPEND
@@ -62,7 +62,7 @@
 
 
 class LedgerTail:
-    """Reads what was appended to a file since the last time."""
+    """Reads rows that were appended to a file since the last read."""
 
     def __init__(self, path: pathlib.Path) -> None:
         self.path = path
--- a/tests/soak/regressions.py
+++ b/tests/soak/regressions.py
@@ -1,7 +1,7 @@
-"""Seeds that failed once, each with the cause; ``--regressions`` plays them.
+"""Seeds that failed before, with the cause; ``--regressions`` reruns them.
 
-A seed draws the same faults at the same times again; which request meets
-them is up to the machine. So each cause has a test of its own besides.
+A seed reproduces the same faults at the same times, but which requests they
+affect depends on the machine. So each cause also has its own test.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Regression:
-    """A soak that broke a promise.
+    """A soak that violated a guarantee.
 
     Attributes:
-        cause: What was behind it, in one line.
+        cause: The cause, in one line.
     """
 
     options: layout.SoakOptions
--- a/tests/soak/report.py
+++ b/tests/soak/report.py
@@ -20,13 +20,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Report:
-    """What a soak did and saw.
+    """The results of a soak.
 
     Attributes:
-        faults: Injected faults: time, kind, how long.
-        requests: Requests by how they ended.
+        faults: Injected faults: time, kind, duration, target and variant.
+        requests: Number of requests by outcome.
         peak_node_mb: Largest resident memory of a node.
-        pauses: When the harness, and all links with it, stood still.
+        pauses: When the harness, and with it all links, was paused.
     """
 
     options: dict[str, Any]
@@ -49,7 +49,7 @@
     system: soak_system.SoakSystem,
     judge: soak_judge.Judge,
 ) -> Report:
-    engines = system.engines + system.former
+    engines = system.engines + system.departed
     return Report(
         options=dataclasses.asdict(options),
         faults=[
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -19,16 +19,16 @@
 from tests.soak import report as soak_report
 from tests.soak import system as soak_system
 
-READY_S = 40.0
-READY_S_PER_PROCESS = 0.5
-"""Python starts slowly on a loaded machine; no promise is meant by these."""
+STARTUP_TIMEOUT_S = 40.0
+STARTUP_TIMEOUT_PER_PROCESS_S = 0.5
+"""Generous, since Python starts slowly on a loaded machine; no guarantee."""
 
-PROGRESS_S = 5.0
-READ_S = 0.2
-PROBE_S = 0.2
-LAST_LOOK_S = 1.0
-FRESH_SEEDS = 1_000_000
-ROUTES = {"chat": 5, "talk": 5, "once": 0, "look": 0}
+PROGRESS_INTERVAL_S = 5.0
+LEDGER_READ_INTERVAL_S = 0.2
+PROBE_INTERVAL_S = 0.2
+FINAL_READ_DELAY_S = 1.0
+RANDOM_SEED_RANGE = 1_000_000
+EVENTS_BY_ROUTE = {"chat": 5, "talk": 5, "once": 0, "look": 0}
 
 
 class Soak:
@@ -51,10 +51,14 @@
         try:
             await self.system.start()
             count = len(self.system.parts())
-            if await self.served_by_all(READY_S + READY_S_PER_PROCESS * count):
-                await self.play()
+            if await self.wait_served_by_all(
+                STARTUP_TIMEOUT_S + STARTUP_TIMEOUT_PER_PROCESS_S * count
+            ):
+                await self.run_faults()
             else:
-                self.judge.found(soak_judge.Promise.RECOVERS, "no start")
+                self.judge.report_violation(
+                    soak_judge.Promise.RECOVERS, "not served at the start"
+                )
         finally:
             for task in self.tasks:
                 task.cancel()
@@ -63,12 +67,12 @@
             self.options, self.faults, self.system, self.judge
         )
 
-    async def play(self) -> None:
+    async def run_faults(self) -> None:
         sending = [
             callers.SoakCaller(number, self.system, self.judge)
             for number in range(self.options.clients)
         ]
-        self.tasks = [asyncio.create_task(self.look())]
+        self.tasks = [asyncio.create_task(self.monitor())]
         running = [asyncio.create_task(caller.run()) for caller in sending]
         await self.inject_all()
         await self.recover()
@@ -76,8 +80,8 @@
         for caller in sending:
             caller.stopping = True
         await asyncio.gather(*running)
-        await asyncio.sleep(LAST_LOOK_S)
-        self.judge.take_rows(self.system.new_rows())
+        await asyncio.sleep(FINAL_READ_DELAY_S)
+        self.judge.process_rows(self.system.read_new_rows())
         self.judge.finish()
 
     async def inject_all(self) -> None:
@@ -91,64 +95,68 @@
         await asyncio.gather(*injecting)
 
     async def recover(self) -> None:
-        """Waits until all run again; then they must serve in time."""
+        """Waits until all nodes run again; then they must serve in time."""
         nodes = self.system.nodes
         while not all(node.is_running() for node in nodes):
-            await asyncio.sleep(PROBE_S)
-        if not await self.served_by_all(layout.RECOVER_S):
-            self.judge.found(soak_judge.Promise.RECOVERS, "not all nodes")
+            await asyncio.sleep(PROBE_INTERVAL_S)
+        if not await self.wait_served_by_all(layout.RECOVERY_LIMIT_S):
+            self.judge.report_violation(
+                soak_judge.Promise.RECOVERS, "not served by all nodes"
+            )
 
-    async def served_by_all(self, seconds: float) -> bool:
+    async def wait_served_by_all(self, seconds: float) -> bool:
         """Returns whether each node serves each route in time."""
         probes = [
-            self.served(node, route, seconds)
+            self.wait_served(node, route, seconds)
             for node in self.system.nodes
-            for route in ROUTES
+            for route in EVENTS_BY_ROUTE
         ]
         return all(await asyncio.gather(*probes))
 
-    async def served(
-        self, node: soak_system.NodePart, route: str, seconds: float
+    async def wait_served(
+        self, node: soak_system.NodeProcess, route: str, seconds: float
     ) -> bool:
         end = time.monotonic() + seconds
         assert node.front is not None
         while time.monotonic() < end:
             try:
-                channel = await callers.open_channel(
+                connection = await callers.open_node_connection(
                     node.name, node.front.address
                 )
             except OSError:
-                await asyncio.sleep(PROBE_S)
+                await asyncio.sleep(PROBE_INTERVAL_S)
                 continue
             self.prober.sent += 1
-            request = self.prober.make(node.name, route, ROUTES[route])
-            self.judge.sending(request)
-            await channel.exchange(request)
-            channel.close()
-            self.judge.answered(request)
+            request = self.prober.make_request(
+                node.name, route, EVENTS_BY_ROUTE[route]
+            )
+            self.judge.record_sent(request)
+            await connection.exchange(request)
+            connection.close()
+            self.judge.check_answer(request)
             if request.status == 200:
                 return True
-            await asyncio.sleep(PROBE_S)
+            await asyncio.sleep(PROBE_INTERVAL_S)
         return False
 
-    async def look(self) -> None:
-        """Reads what engines noted, and says how far the soak is."""
-        next_line = 0.0
+    async def monitor(self) -> None:
+        """Reads the ledgers, checks memory and prints progress."""
+        next_progress_at = 0.0
         while True:
-            await asyncio.sleep(READ_S)
-            self.judge.take_rows(self.system.new_rows())
-            if time.monotonic() >= next_line:
-                next_line = time.monotonic() + PROGRESS_S
+            await asyncio.sleep(LEDGER_READ_INTERVAL_S)
+            self.judge.process_rows(self.system.read_new_rows())
+            if time.monotonic() >= next_progress_at:
+                next_progress_at = time.monotonic() + PROGRESS_INTERVAL_S
                 self.judge.check_memory()
-                self.say_progress()
+                self.print_progress()
 
-    def say_progress(self) -> None:
+    def print_progress(self) -> None:
         seconds = time.monotonic() - self.judge.started
         print(
             f"soak seed {self.options.seed}: {seconds:.0f} s, "
             f"{self.injected} of {len(self.faults)} faults, "
             f"{self.judge.counts.total()} requests, "
-            f"{self.judge.served()} served, "
+            f"{self.judge.served_count()} served, "
             f"{len(self.judge.violations)} violations",
             flush=True,
         )
@@ -157,18 +165,18 @@
 async def run(
     options: layout.SoakOptions, folder: pathlib.Path
 ) -> soak_report.Report:
-    """Runs a soak with logs and ledgers in a folder."""
+    """Runs a soak; writes logs and ledgers to a folder."""
     return await Soak(options, folder).run()
 
 
 def main() -> int:
-    """Runs soaks; returns 1 if a promise was broken."""
+    """Runs soaks; returns 1 if a guarantee was violated."""
     parser = argparse.ArgumentParser(prog="tests.soak.run")
-    parser.add_argument("--seed", type=int, help="default: a fresh one")
+    parser.add_argument("--seed", type=int, help="default: random")
     parser.add_argument("--seconds", type=float, default=60.0)
     parser.add_argument("--nodes", type=int, default=4)
     parser.add_argument("--engines", type=int, default=10)
-    parser.add_argument("--clients", type=int, help="default: 4 a node")
+    parser.add_argument("--clients", type=int, help="default: 4 per node")
     parser.add_argument("--folder", type=pathlib.Path)
     parser.add_argument("--regressions", action="store_true")
     args = parser.parse_args()
@@ -182,10 +190,10 @@
 
 
 def options_of(args: argparse.Namespace) -> layout.SoakOptions:
-    """Returns the options that were asked for."""
+    """Returns the options from the command line."""
     seed = args.seed
     if seed is None:
-        seed = random.SystemRandom().randrange(FRESH_SEEDS)
+        seed = random.SystemRandom().randrange(RANDOM_SEED_RANGE)
     return layout.SoakOptions(
         seed=seed,
         seconds=args.seconds,
@@ -196,7 +204,7 @@
 
 
 def run_reported(options: layout.SoakOptions, parent: pathlib.Path) -> bool:
-    """Runs one soak; returns whether a promise was broken."""
+    """Runs one soak; returns whether a guarantee was violated."""
     folder = parent / f"seed-{options.seed}"
     folder.mkdir(parents=True, exist_ok=True)
     print(f"soak seed {options.seed}, logs in {folder}", flush=True)
--- a/tests/soak/store_process.py
+++ b/tests/soak/store_process.py
@@ -1,6 +1,6 @@
-"""The platform's store as a process of its own, with switches for faults.
+"""The platform's store in its own process, with switches for faults.
 
-Engines report here that they live; an entry is dropped after some silence.
+Engines send heartbeats here; an entry without heartbeats expires.
 """
 
 from __future__ import annotations
@@ -19,27 +19,27 @@
 from almondshift.platform import names
 from tests.platform import standin_store
 
-BEAT_S = 1.0
-LAPSE_S = 3 * BEAT_S
-REAP_S = 0.2
+HEARTBEAT_INTERVAL_S = 1.0
+ENTRY_TTL_S = 3 * HEARTBEAT_INTERVAL_S
+EXPIRY_INTERVAL_S = 0.2
 
 FAULTS_PATH = "/soak/faults"
 PUT_PATH = "/soak/put"
-BEAT_PATH = "/soak/beat"
+HEARTBEAT_PATH = "/soak/beat"
 
 
 class SoakStore(standin_store.StandinStore):
-    """The stand-in at a given address, with entries that lapse.
+    """A stand-in store at a given address, with entries that expire.
 
     Attributes:
-        beats: When each engine was last heard of.
-        entries: Each engine's entry as it was last written.
+        heartbeats: When each engine's last heartbeat arrived.
+        entries: Each engine's last written entry.
     """
 
     def __init__(self, address: str) -> None:
         super().__init__()
         self.address = address
-        self.beats: dict[str, float] = {}
+        self.heartbeats: dict[str, float] = {}
         self.entries: dict[str, Any] = {}
 
     async def start(self) -> None:
@@ -51,7 +51,7 @@
                 (names.ROWS_WRITE, standin_store.WriteHandler, store),
                 (FAULTS_PATH, FaultsHandler, store),
                 (PUT_PATH, PutHandler, store),
-                (BEAT_PATH, BeatHandler, store),
+                (HEARTBEAT_PATH, HeartbeatHandler, store),
             ],
             log_function=lambda handler: None,
         )
@@ -59,21 +59,21 @@
         self.server = httpserver.HTTPServer(application)
         self.server.add_sockets(netutil.bind_sockets(int(port), host))
 
-    def take_beat(self, instance: str, entry: Any) -> None:
-        self.beats[instance] = time.monotonic()
+    def record_heartbeat(self, instance: str, entry: Any) -> None:
+        self.heartbeats[instance] = time.monotonic()
         if self.entries.get(instance) != entry:
             self.entries[instance] = entry
             self.put(names.ENGINE_TABLE, instance, entry)
 
     def drop_entry(self, instance: str) -> None:
-        self.beats.pop(instance, None)
+        self.heartbeats.pop(instance, None)
         if self.entries.pop(instance, None) is not None:
             self.remove(names.ENGINE_TABLE, instance)
 
-    def reap(self) -> None:
-        oldest = time.monotonic() - LAPSE_S
-        for instance, beat in list(self.beats.items()):
-            if beat < oldest:
+    def drop_expired(self) -> None:
+        oldest = time.monotonic() - ENTRY_TTL_S
+        for instance, heartbeat in list(self.heartbeats.items()):
+            if heartbeat < oldest:
                 self.drop_entry(instance)
 
 
@@ -82,37 +82,37 @@
         self.store = store
 
     def post(self) -> None:
-        self.take(json.loads(self.request.body))
+        self.apply(json.loads(self.request.body))
 
-    def take(self, body: Any) -> None:
+    def apply(self, body: Any) -> None:
         raise NotImplementedError
 
 
 class FaultsHandler(ControlHandler):
-    """Sets the named switches; the others are turned off."""
+    """Sets the given switches and turns off all others."""
 
-    def take(self, body: Any) -> None:
+    def apply(self, body: Any) -> None:
         self.store.faults = standin_store.StoreFaults(**body)
 
 
 class PutHandler(ControlHandler):
     """Writes a row as the operator does, whatever the faults are."""
 
-    def take(self, body: Any) -> None:
+    def apply(self, body: Any) -> None:
         self.store.put(body["table"], body["key"], body["value"])
 
 
-class BeatHandler(ControlHandler):
-    """Takes an engine's sign of life; not while the store is away."""
+class HeartbeatHandler(ControlHandler):
+    """Records an engine's heartbeat, except while the store is unavailable."""
 
-    def take(self, body: Any) -> None:
+    def apply(self, body: Any) -> None:
         faults = self.store.faults
         if faults.refuses or faults.is_silent:
             self.set_status(503)
         elif body["entry"] is None:
             self.store.drop_entry(body["instance"])
         else:
-            self.store.take_beat(body["instance"], body["entry"])
+            self.store.record_heartbeat(body["instance"], body["entry"])
 
 
 async def run(address: str) -> None:
@@ -120,8 +120,8 @@
     await store.start()
     with contextlib.suppress(asyncio.CancelledError):
         while True:
-            await asyncio.sleep(REAP_S)
-            store.reap()
+            await asyncio.sleep(EXPIRY_INTERVAL_S)
+            store.drop_expired()
 
 
 if __name__ == "__main__":
--- a/tests/soak/system.py
+++ b/tests/soak/system.py
@@ -28,40 +28,40 @@
 
     from tests.soak import config_probes
 
-WATCH_S = 0.05
-CALL_S = 5.0
-RESTART_S = 0.3
-"""A process that ended is started again after so long."""
+WATCH_INTERVAL_S = 0.05
+HTTP_TIMEOUT_S = 5.0
+RESTART_DELAY_S = 0.3
+"""Delay before a process that exited is restarted."""
 
-PAUSE_S = 0.15
-"""Nodes ask a silent engine for 0.3 s; a pause of the proxies, which run in
-this process, that is half as long can make them give one up."""
+MIN_RECORDED_PAUSE_S = 0.15
+"""Nodes probe a silent engine for 0.3 s. A pause half as long of the proxies,
+which run in this process, can make them treat an engine as lost."""
 
-STATM_RSS = 1
+STATM_RESIDENT_FIELD = 1
 PAGE_MB = os.sysconf("SC_PAGE_SIZE") / 1_000_000
 
 
 @dataclasses.dataclass(slots=True)
-class Part:
-    """A process that is started again when it ended.
+class SupervisedProcess:
+    """A process that is restarted when it exits.
 
     Attributes:
         command: Module and arguments.
-        ends: Why it may end: signals that it got; empty for no reason.
-        stopped_at: When SIGTERM came first; 0 for not.
-        was_killed: Whether its end was forced.
-        is_retired: It is not started again.
+        exit_reasons: Signals that it was sent; empty if it must not exit.
+        stopped_at: When SIGTERM was first sent; 0 if it was not.
+        was_killed: Whether it was killed.
+        is_exit_handled: Whether its exit was handled; reset on restart.
         peak_mb: Largest resident memory seen.
     """
 
     name: str
     command: list[str]
     process: processes.ChildProcess | None = None
-    ends: list[str] = dataclasses.field(default_factory=list)
+    exit_reasons: list[str] = dataclasses.field(default_factory=list)
     stopped_at: float = 0.0
     was_killed: bool = False
-    is_retired: bool = False
-    restart_s: float = RESTART_S
+    is_exit_handled: bool = False
+    restart_delay_s: float = RESTART_DELAY_S
     starts: int = 0
     peak_mb: float = 0.0
 
@@ -75,11 +75,11 @@
     def terminate(self) -> None:
         if not self.stopped_at:
             self.stopped_at = time.monotonic()
-        self.ends.append("SIGTERM")
+        self.exit_reasons.append("SIGTERM")
         self.signal(signal.SIGTERM)
 
     def kill(self) -> None:
-        self.ends.append("SIGKILL")
+        self.exit_reasons.append("SIGKILL")
         self.was_killed = True
         self.signal(signal.SIGKILL)
 
@@ -87,19 +87,19 @@
         assert self.process is not None
         try:
             with open(f"/proc/{self.process.pid}/statm") as file:
-                return int(file.read().split()[STATM_RSS]) * PAGE_MB
+                return int(file.read().split()[STATM_RESIDENT_FIELD]) * PAGE_MB
         except (OSError, IndexError):
             return 0.0
 
 
 @dataclasses.dataclass(slots=True)
-class NodePart(Part):
+class NodeProcess(SupervisedProcess):
     """A relay node.
 
     Attributes:
-        entry: Where it listens for requests; ``front`` leads there.
+        entry: Address on which it serves requests; ``front`` forwards there.
         front: The proxy that callers connect to.
-        store_link: The proxy between it and the store.
+        store_link: The proxy between the node and the store.
     """
 
     entry: str = ""
@@ -114,12 +114,12 @@
 
 
 @dataclasses.dataclass(slots=True)
-class EnginePart(Part):
+class EngineProcess(SupervisedProcess):
     """An engine.
 
     Attributes:
-        listen: Where it listens; ``link`` leads there, and is registered.
-        leaves_at: When it was told to leave; 0 for not.
+        listen: Its address; ``link``, which is registered, forwards there.
+        leaves_at: When it was told to leave; 0 if it was not.
     """
 
     index: int = 0
@@ -130,11 +130,11 @@
 
 
 class SoakSystem:
-    """Starts the processes, watches them and ends all of them.
+    """Starts, supervises and finally kills the processes.
 
     Attributes:
-        engines: Present ones; those that left are in ``former``.
-        on_end: Called with each part whose process ended.
+        engines: Present engines; ``departed`` holds those that left.
+        on_exit: Called with each process that exited and its exit code.
         on_change: Called with each change of the configuration.
         writing: Held while the operator writes a configuration.
     """
@@ -146,11 +146,11 @@
         self.folder = folder
         self.network = layout.Network()
         self.disturbances = disturbances.Disturbances()
-        self.nodes: list[NodePart] = []
-        self.engines: list[EnginePart] = []
-        self.former: list[EnginePart] = []
+        self.nodes: list[NodeProcess] = []
+        self.engines: list[EngineProcess] = []
+        self.departed: list[EngineProcess] = []
         self.configuration = layout.Configuration()
-        self.store = Part(
+        self.store = SupervisedProcess(
             "store",
             [
                 "tests.soak.store_process",
@@ -158,7 +158,9 @@
             ],
         )
         self.tails: list[ledger.LedgerTail] = []
-        self.on_end: Callable[[Part, int], None] = lambda part, code: None
+        self.on_exit: Callable[[SupervisedProcess, int], None] = (
+            lambda part, code: None
+        )
         self.on_change: Callable[[config_probes.ConfigChange], None]
         self.on_change = lambda change: None
         self.writing = asyncio.Lock()
@@ -167,9 +169,9 @@
         self.is_closing = False
 
     async def start(self) -> None:
-        """Starts all and returns while nodes still find together."""
+        """Starts all; returns before the nodes have discovered each other."""
         self.launch(self.store)
-        await self.until_listens(self.network.store())
+        await self.wait_until_listening(self.network.store())
         await self.write_configuration()
         for index in range(self.options.engines):
             await self.add_engine(index, 0)
@@ -178,7 +180,7 @@
         self.watching = asyncio.create_task(self.watch())
 
     async def close(self) -> None:
-        """Ends every process that it started, also a stopped one."""
+        """Kills every process that it started, including paused ones."""
         self.is_closing = True
         if self.watching is not None:
             self.watching.cancel()
@@ -188,14 +190,14 @@
         for node in self.nodes:
             for link in node.links():
                 await link.close()
-        for engine in self.engines + self.former:
+        for engine in self.engines + self.departed:
             if engine.link is not None:
                 await engine.link.close()
 
-    def parts(self) -> list[Part]:
-        return [self.store, *self.nodes, *self.engines, *self.former]
+    def parts(self) -> list[SupervisedProcess]:
+        return [self.store, *self.nodes, *self.engines, *self.departed]
 
-    async def add_node(self, index: int) -> NodePart:
+    async def add_node(self, index: int) -> NodeProcess:
         network = self.network
         front = await fault_proxy.create_fault_proxy(
             network.node(index, layout.NODE_PORT)
@@ -203,7 +205,7 @@
         link = await fault_proxy.create_fault_proxy(network.store())
         name = f"n{index}"
         path = self.folder / f"{name}.ini"
-        node = NodePart(
+        node = NodeProcess(
             name,
             ["almondshift.daemons.start_relay", "--settings", str(path)],
             entry=network.node(index, layout.NODE_PORT),
@@ -228,19 +230,19 @@
         self.launch(node)
         return node
 
-    def write_settings(self, node: NodePart) -> None:
+    def write_settings(self, node: NodeProcess) -> None:
         path = self.folder / f"{node.name}.ini"
         path.write_text(layout.SETTINGS.format(**node.settings))
 
-    async def add_engine(self, index: int, generation: int) -> EnginePart:
-        """Starts an engine; a later one in its place has another name."""
+    async def add_engine(self, index: int, generation: int) -> EngineProcess:
+        """Starts an engine; its replacement gets another name."""
         is_plain = index < self.options.plain_engines()
         service = layout.PLAIN_SERVICE if is_plain else layout.MODEL_SERVICE
         listen = self.network.engine(index, generation)
         link = await fault_proxy.create_fault_proxy(listen)
         name = f"e{index}-{generation}"
         path = self.folder / f"{name}.ledger"
-        engine = EnginePart(
+        engine = EngineProcess(
             name,
             [
                 "tests.soak.engine_process",
@@ -262,16 +264,16 @@
         self.launch(engine)
         return engine
 
-    async def replace_engine(self, engine: EnginePart) -> None:
-        """Starts another in the place of one that left."""
+    async def replace_engine(self, engine: EngineProcess) -> None:
+        """Starts a replacement for an engine that left."""
         self.engines.remove(engine)
-        self.former.append(engine)
+        self.departed.append(engine)
         generation = int(engine.name.partition("-")[2]) + 1
         await self.add_engine(engine.index, generation)
 
-    def launch(self, part: Part) -> None:
+    def launch(self, part: SupervisedProcess) -> None:
         if self.is_closing:
-            # A restart that was due would leave a process behind.
+            # A pending restart would leave a process behind.
             return
         log_file = self.folder / f"{part.name}.log"
         with log_file.open("ab") as log:
@@ -284,90 +286,90 @@
         part.process = processes.ChildProcess(
             part.name, popen, log_file, log_file
         )
-        part.ends.clear()
+        part.exit_reasons.clear()
         part.stopped_at = 0.0
         part.was_killed = False
         part.starts += 1
         self.disturbances.note(part.name, "start")
 
     async def watch(self) -> None:
-        """Starts processes again, and notes when this one stands still."""
+        """Restarts processes, and records pauses of this one."""
         while True:
             before = time.monotonic()
-            await asyncio.sleep(WATCH_S)
+            await asyncio.sleep(WATCH_INTERVAL_S)
             for part in self.parts():
-                self.look_after(part)
-            self.note_pause(before)
+                self.supervise(part)
+            self.record_pause(before)
 
-    def note_pause(self, before: float) -> None:
-        """Notes that this process stood still, and all links with it."""
-        pause_s = time.monotonic() - before - WATCH_S
-        if pause_s > PAUSE_S:
+    def record_pause(self, before: float) -> None:
+        """Records a pause of this process, which pauses all links too."""
+        pause_s = time.monotonic() - before - WATCH_INTERVAL_S
+        if pause_s > MIN_RECORDED_PAUSE_S:
             what = f"paused {pause_s:.2f} s"
             noted = self.disturbances.begin(disturbances.HARNESS, what)
             noted.start = before
             noted.end = time.monotonic()
 
-    def look_after(self, part: Part) -> None:
+    def supervise(self, part: SupervisedProcess) -> None:
         assert part.process is not None
-        if part.is_retired:
+        if part.is_exit_handled:
             return
         if part.is_running():
-            self.end_after_grace(part)
+            self.kill_after_grace(part)
             return
-        self.on_end(part, part.process.popen.returncode)
-        part.is_retired = True
-        if isinstance(part, EnginePart) and part.leaves_at:
+        self.on_exit(part, part.process.popen.returncode)
+        part.is_exit_handled = True
+        if isinstance(part, EngineProcess) and part.leaves_at:
             asyncio.ensure_future(self.replace_engine(part))
             return
         loop = asyncio.get_running_loop()
-        loop.call_later(part.restart_s, self.relaunch, part)
+        loop.call_later(part.restart_delay_s, self.relaunch, part)
 
-    def relaunch(self, part: Part) -> None:
-        part.is_retired = False
+    def relaunch(self, part: SupervisedProcess) -> None:
+        part.is_exit_handled = False
         self.launch(part)
 
-    def end_after_grace(self, part: Part) -> None:
+    def kill_after_grace(self, part: SupervisedProcess) -> None:
         is_over = time.monotonic() - part.stopped_at > layout.GRACE_S
         if part.stopped_at and is_over and not part.was_killed:
             part.kill()
 
-    async def until_listens(self, address: str) -> None:
+    async def wait_until_listening(self, address: str) -> None:
         async with asyncio.timeout(processes.START_S):
             while True:
                 try:
                     host, _, port = address.rpartition(":")
                     _, writer = await asyncio.open_connection(host, int(port))
                 except OSError:
-                    await asyncio.sleep(WATCH_S)
+                    await asyncio.sleep(WATCH_INTERVAL_S)
                 else:
                     writer.close()
                     return
 
     async def post(self, address: str, path: str, body: Any) -> bool:
-        """Posts to a stand-in; returns whether it answered."""
+        """Posts to a stand-in; returns whether that succeeded."""
         try:
             await self.http.fetch(
                 f"http://{address}{path}",
                 method="POST",
                 body=json.dumps(body),
-                request_timeout=CALL_S,
+                request_timeout=HTTP_TIMEOUT_S,
             )
         except (OSError, httpclient.HTTPError):
             return False
         return True
 
     async def write_configuration(self) -> float:
-        """Writes the present configuration; returns when it was acked."""
+        """Writes the current configuration; returns the time of the ack."""
         body = {
             "table": "op",
             "key": "config",
-            "value": self.configuration.wire(),
+            "value": self.configuration.to_wire(),
         }
         store = self.network.store()
         while not await self.post(store, store_process.PUT_PATH, body):
-            await asyncio.sleep(WATCH_S)
+            await asyncio.sleep(WATCH_INTERVAL_S)
         return time.monotonic()
 
-    def new_rows(self) -> list[ledger.Row]:
+    def read_new_rows(self) -> list[ledger.Row]:
         return [row for tail in self.tails for row in tail.read()]
--- a/tests/soak/test_judge.py
+++ b/tests/soak/test_judge.py
@@ -22,7 +22,7 @@
 
 WHOLE_PATH = [("127.0.0.1:1", 0, 40), ("127.0.0.1:2", 40, 80)]
 SENT_S = 20.0
-"""Seconds before now at which the tests' requests were sent."""
+"""How many seconds ago the tests' requests were sent."""
 
 
 def sent(route: str = "once", events: int = 0) -> Sent:
@@ -45,7 +45,9 @@
     return request
 
 
-def row(request: Sent, what: ledger.What, engine: str = "e0-0") -> ledger.Row:
+def row(
+    request: Sent, what: ledger.RowKind, engine: str = "e0-0"
+) -> ledger.Row:
     return ledger.Row(
         at=request.sent_at + 0.1,
         what=what,
@@ -59,73 +61,73 @@
     )
 
 
-def play(judge: Judge, request: Sent, *rows: ledger.Row) -> None:
-    judge.sending(request)
-    judge.take_rows(list(rows))
-    judge.answered(request)
+def check(judge: Judge, request: Sent, *rows: ledger.Row) -> None:
+    judge.record_sent(request)
+    judge.process_rows(list(rows))
+    judge.check_answer(request)
     judge.finish()
 
 
 def arrived(request: Sent) -> ledger.Row:
-    return row(request, ledger.What.ARRIVED)
+    return row(request, ledger.RowKind.ARRIVED)
 
 
 def ran(request: Sent, engine: str = "e0-0") -> ledger.Row:
-    return row(request, ledger.What.RAN, engine)
+    return row(request, ledger.RowKind.RAN, engine)
 
 
-def right(judge: Judge) -> None:
+def correct_answer(judge: Judge) -> None:
     request = sent()
-    play(judge, request, arrived(request), ran(request))
+    check(judge, request, arrived(request), ran(request))
 
 
-def resumed(judge: Judge) -> None:
+def resumed_stream(judge: Judge) -> None:
     request = sent("chat", 3)
-    play(judge, request, ran(request), ran(request, "e1-0"))
+    check(judge, request, ran(request), ran(request, "e1-0"))
 
 
-def other_body(judge: Judge) -> None:
+def wrong_body(judge: Judge) -> None:
     request = sent()
     request.body += b"x"
-    play(judge, request, ran(request))
+    check(judge, request, ran(request))
 
 
 def short_body_that_looks_whole(judge: Judge) -> None:
     request = sent()
     request.body = request.body[:-1]
-    play(judge, request, ran(request))
+    check(judge, request, ran(request))
 
 
 def missing_event(judge: Judge) -> None:
     request = sent("chat", 3)
     lost = request.body.index(b"id: 2")
     request.body = request.body[:lost] + request.body[lost * 2 :]
-    play(judge, request, ran(request))
+    check(judge, request, ran(request))
 
 
-def event_twice_before_a_cut(judge: Judge) -> None:
+def duplicate_event_before_disconnect(judge: Judge) -> None:
     request = sent("chat", 3)
     length = request.body.index(b"id: 2")
     request.body = request.body[:length] * 2
     request.ending = callers.Ending.LEFT
-    play(judge, request, ran(request))
+    check(judge, request, ran(request))
 
 
 def answer_of_another(judge: Judge) -> None:
     request = sent()
     request.fields["x-request-id"] = "r2"
-    play(judge, request, ran(request))
+    check(judge, request, ran(request))
 
 
-def unsigned(judge: Judge) -> None:
+def missing_signature(judge: Judge) -> None:
     request = sent()
     del request.fields["x-engine-signature"]
-    play(judge, request, ran(request))
+    check(judge, request, ran(request))
 
 
 def ran_twice(judge: Judge) -> None:
     request = sent("talk", 3)
-    play(judge, request, ran(request), ran(request, "e1-0"))
+    check(judge, request, ran(request), ran(request, "e1-0"))
 
 
 def refused(status: int = 503) -> Sent:
@@ -136,58 +138,60 @@
 
 def refused_and_ran_before(judge: Judge) -> None:
     request = refused()
-    play(judge, request, ran(request))
+    check(judge, request, ran(request))
 
 
 def refused_and_ran_later(judge: Judge) -> None:
     request = refused(429)
-    judge.sending(request)
-    judge.answered(request)
-    judge.take_rows([ran(request)])
+    judge.record_sent(request)
+    judge.check_answer(request)
+    judge.process_rows([ran(request)])
 
 
-def denied(judge: Judge) -> None:
-    play(judge, refused(404))
+def allowed_request_denied(judge: Judge) -> None:
+    check(judge, refused(404))
 
 
-def internal(judge: Judge) -> None:
-    play(judge, refused(500))
+def internal_error(judge: Judge) -> None:
+    check(judge, refused(500))
 
 
 def body_changed(judge: Judge) -> None:
     request = sent()
     changed = arrived(request)
     changed.body = "other"
-    play(judge, request, changed)
+    check(judge, request, changed)
 
 
 def key_passed_on(judge: Judge) -> None:
     request = sent()
     changed = arrived(request)
     changed.has_key = True
-    play(judge, request, changed)
+    check(judge, request, changed)
 
 
 def account_forged(judge: Judge) -> None:
     request = sent()
     changed = arrived(request)
     changed.account = "forged"
-    play(judge, request, changed)
+    check(judge, request, changed)
 
 
-def sent_by_nobody(judge: Judge) -> None:
-    judge.take_rows([arrived(sent())])
+def unknown_request(judge: Judge) -> None:
+    judge.process_rows([arrived(sent())])
 
 
-def layers_left_out(judge: Judge) -> None:
+def skipped_layer(judge: Judge) -> None:
     request = sent("chat", 3)
     changed = ran(request)
     changed.parts = [("127.0.0.1:1", 0, 40), ("127.0.0.1:2", 41, 80)]
-    play(judge, request, changed)
+    check(judge, request, changed)
 
 
 def too_many_layers(judge: Judge) -> None:
-    judge.take_rows([ledger.Row(1.0, ledger.What.ORDERED, "e0-0", layers=42)])
+    judge.process_rows(
+        [ledger.Row(1.0, ledger.RowKind.ORDERED, "e0-0", layers=42)]
+    )
 
 
 def cut_request() -> Sent:
@@ -199,92 +203,92 @@
 
 def cut(judge: Judge) -> None:
     request = cut_request()
-    play(judge, request, arrived(request), ran(request))
+    check(judge, request, arrived(request), ran(request))
 
 
 def cut_after_a_disturbance(judge: Judge) -> None:
     request = cut_request()
     judge.history().note("n0", "kill")
     judge.history().all[-1].start = request.sent_at - 1.0
-    play(judge, request, arrived(request), ran(request))
+    check(judge, request, arrived(request), ran(request))
 
 
-def cut_by_a_stop(judge: Judge, sent_after_s: float) -> None:
+def cut_during_stop(judge: Judge, sent_after_s: float) -> None:
     request = cut_request()
     stop = judge.history().begin("n0", "stop", is_planned=True)
     stop.start = request.sent_at - sent_after_s
     request.ended_at = stop.start + 7.5
-    play(judge, request, arrived(request), ran(request))
+    check(judge, request, arrived(request), ran(request))
 
 
-def taken_late_and_cut(judge: Judge) -> None:
-    cut_by_a_stop(judge, 3.3)
+def accepted_late_and_cut(judge: Judge) -> None:
+    cut_during_stop(judge, 3.3)
 
 
-def taken_early_and_cut(judge: Judge) -> None:
-    cut_by_a_stop(judge, 1.0)
+def accepted_early_and_cut(judge: Judge) -> None:
+    cut_during_stop(judge, 1.0)
 
 
-def hangs(judge: Judge) -> None:
+def never_answered(judge: Judge) -> None:
     request = sent()
     request.ending, request.status = callers.Ending.UNANSWERED, 0
-    play(judge, request)
+    check(judge, request)
 
 
 def work_after_leaving(judge: Judge) -> None:
     request = sent()
-    left = row(request, ledger.What.LEFT)
+    left = row(request, ledger.RowKind.LEFT)
     left.at = request.sent_at - layout.DRAIN_S
-    play(judge, request, left, arrived(request))
+    check(judge, request, left, arrived(request))
 
 
-def dropped_key_ran(judge: Judge) -> None:
+def revoked_key_ran(judge: Judge) -> None:
     request = sent("look")
     request.expected = callers.Expected.DENIED
     request.acked_at = request.sent_at - 2.1
-    play(judge, request, ran(request))
+    check(judge, request, ran(request))
 
 
 def new_key_denied(judge: Judge) -> None:
     request = refused(401)
     request.expected = callers.Expected.ADDED
     request.acked_at = request.sent_at - 2.1
-    play(judge, request)
+    check(judge, request)
 
 
 @pytest.mark.parametrize(
     ("history", "promises"),
     [
-        (right, []),
-        (resumed, []),
-        (other_body, [Promise.ANSWER]),
+        (correct_answer, []),
+        (resumed_stream, []),
+        (wrong_body, [Promise.ANSWER]),
         (short_body_that_looks_whole, [Promise.ANSWER]),
         (missing_event, [Promise.STREAM]),
-        (event_twice_before_a_cut, [Promise.STREAM]),
+        (duplicate_event_before_disconnect, [Promise.STREAM]),
         (answer_of_another, [Promise.ANSWER]),
-        (unsigned, [Promise.ANSWER]),
+        (missing_signature, [Promise.ANSWER]),
         (ran_twice, [Promise.ONCE]),
         (refused_and_ran_before, [Promise.REFUSED]),
         (refused_and_ran_later, [Promise.REFUSED]),
-        (denied, [Promise.ALLOWED]),
-        (internal, [Promise.INTERNAL]),
+        (allowed_request_denied, [Promise.ALLOWED]),
+        (internal_error, [Promise.INTERNAL]),
         (body_changed, [Promise.UNCHANGED]),
         (key_passed_on, [Promise.UNCHANGED]),
         (account_forged, [Promise.UNCHANGED]),
-        (sent_by_nobody, [Promise.UNCHANGED]),
-        (layers_left_out, [Promise.LAYERS]),
+        (unknown_request, [Promise.UNCHANGED]),
+        (skipped_layer, [Promise.LAYERS]),
         (too_many_layers, [Promise.ORDERS]),
         (cut, [Promise.CUT]),
         (cut_after_a_disturbance, []),
-        (taken_late_and_cut, [Promise.CUT]),
-        (taken_early_and_cut, []),
-        (hangs, [Promise.HANGS]),
+        (accepted_late_and_cut, [Promise.CUT]),
+        (accepted_early_and_cut, []),
+        (never_answered, [Promise.HANGS]),
         (work_after_leaving, [Promise.LEAVING]),
-        (dropped_key_ran, [Promise.CONFIG]),
+        (revoked_key_ran, [Promise.CONFIG]),
         (new_key_denied, [Promise.CONFIG]),
     ],
 )
-def test_judge_sees_each_broken_promise_and_no_other(
+def test_judge_reports_exactly_the_violated_guarantees(
     history: Callable[[Judge], None],
     promises: list[Promise],
     tmp_path: pathlib.Path,
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -14,19 +14,19 @@
 
 MIXED_SEED = 2
 PLANNED_SEED = 121
-"""Its series hold only what operators do; nothing may be cut beside it."""
+"""Its faults are only operators' actions, during which nothing may be cut."""
 
 
 @pytest.mark.parametrize("seed", [MIXED_SEED, PLANNED_SEED])
-def test_promises_hold_under_seeded_faults(
+def test_guarantees_hold_under_seeded_faults(
     seed: int, tmp_path: pathlib.Path
 ) -> None:
-    """Callers get whole answers or honest refusals, whatever happens.
+    """Callers get complete answers or truthful refusals under faults.
 
-    Relay processes, a store and engines run on loopback; links are reset,
-    delayed and silenced, processes stopped, paused and killed, configurations
-    changed, in overlapping series. What callers saw is held against what
-    engines noted while it goes on, and afterwards all nodes serve again.
+    Relay processes, a store and engines run on loopback. In overlapping series
+    links are reset, delayed and silenced, processes stopped, paused and
+    killed, and configurations changed. Meanwhile callers' answers are checked
+    against engines' ledgers; afterwards all nodes must serve again.
     """
     options = layout.SoakOptions(
         seed=seed, seconds=15.0, nodes=3, engines=8, clients=12
