--- a/tests/soak/judge.py
+++ b/tests/soak/judge.py
@@ -348,8 +348,8 @@
             return
         sent = [round(request.sent_at - stop, 2) for stop in stops[-1:]]
         detail = (
-            f"{describe(request)} cut after {took_s:.2f} s, seconds from SIGTERM "
-            f"to sending: {sent}, arrived {len(work.arrived)} times"
+            f"{describe(request)} cut after {took_s:.2f} s, seconds from "
+            f"SIGTERM to sending: {sent}, arrived {len(work.arrived)} times"
         )
         self.report_violation(Promise.CUT, detail, request.ended_at)
 
