--- a/tests/scenarios/datapath/raw_callers.py
+++ b/tests/scenarios/datapath/raw_callers.py
@@ -15,7 +15,7 @@
 
 
 class RawCaller:
-    """One request on one connection; reads only on request."""
+    """One request on one connection; reads only when asked to."""
 
     def __init__(self, address: str, **body: Any) -> None:
         host, _, port = address.rpartition(":")
--- a/tests/scenarios/datapath/troubles.py
+++ b/tests/scenarios/datapath/troubles.py
@@ -22,9 +22,9 @@
 HALF_ANSWER_BYTES = 30
 
 
-async def inject(system: paths.PathSystem, trouble: str) -> None:
+async def inject(system: paths.PathSystem, fault: str) -> None:
     """Injects a fault that lasts until the system is healed."""
-    await TROUBLES[trouble](system)
+    await FAULTS[fault](system)
 
 
 async def refuse(system: paths.PathSystem) -> None:
@@ -79,7 +79,7 @@
     await system.control(ENDPOINT, refuse=True)
 
 
-TROUBLES: dict[str, Callable[[paths.PathSystem], Awaitable[None]]] = {
+FAULTS: dict[str, Callable[[paths.PathSystem], Awaitable[None]]] = {
     "refuses connections": refuse,
     "accepts no connection": fill_backlog,
     "gets no request": hold_requests,
--- a/tests/scenarios/features/fleet_change.feature
+++ b/tests/scenarios/features/fleet_change.feature
@@ -15,8 +15,8 @@
     Given a system of 2 nodes
     When callers keep asking for 12 tokens
     And version 2 of the model is applied
-    Then all answers come to be of version 2 within 30 seconds
-    And every answer was whole and of one version
+    Then all answers are of version 2 within 30 seconds
+    And every answer was complete and of one version
 
   Scenario: a service waits for what it depends on
     In this configuration chat depends on a plain service without endpoints,
--- a/tests/scenarios/steps_once.py
+++ b/tests/scenarios/steps_once.py
@@ -135,7 +135,7 @@
 
 
 async def _runs(control: controls.Control, notice: Notice) -> int:
-    """Counts what the endpoints' ledgers say of the notice."""
+    """Counts the runs of the notice in the endpoints' ledgers."""
     plain = notice.service == "portal"
     names = control.system.plain if plain else control.system.engines
     rows = []
--- a/tests/scenarios/test_fleet_change.py
+++ b/tests/scenarios/test_fleet_change.py
@@ -26,7 +26,7 @@
 
     Attributes:
         versions: Versions of the answers so far, in order.
-        faults: Answers that were not complete or mixed versions.
+        faults: Answers that were incomplete or of no single version.
     """
 
     count: int
@@ -108,8 +108,7 @@
 
 @then(
     parsers.parse(
-        "all answers come to be of version {version:d} within {seconds:d} "
-        "seconds"
+        "all answers are of version {version:d} within {seconds:d} seconds"
     )
 )
 def all_of_version(world: worlds.World, version: int, seconds: int) -> None:
@@ -128,7 +127,7 @@
     await asyncio.gather(*load.tasks)
 
 
-@then("every answer was whole and of one version")
+@then("every answer was complete and of one version")
 def every_answer_whole(world: worlds.World) -> None:
     assert world.notes["load"].faults == []
 
--- a/tests/soak/regressions.py
+++ b/tests/soak/regressions.py
@@ -37,29 +37,29 @@
     return Regression(options, cause)
 
 
-EARLY_SIGNAL = "SIGHUP ended a node that was starting."
+EARLY_SIGNAL = "SIGHUP terminated a node that was starting."
 LATE_SIGNAL = "Signals changed how a node that had stopped ended."
-TAKEN_LATE = "A stopping node took streams that it could not finish."
-GIVEN_UP = "Streams that may not run again left an engine that was alive."
+ACCEPTED_LATE = "A stopping node accepted streams that it could not finish."
+ABANDONED_ENGINE = "Streams that may not be retried abandoned a live engine."
 
 REGRESSIONS = (
     small(4, EARLY_SIGNAL),
     small(14, LATE_SIGNAL),
-    small(108, TAKEN_LATE),
-    small(109, TAKEN_LATE),
-    large(201, GIVEN_UP),
-    large(203, TAKEN_LATE),
-    large(204, GIVEN_UP),
-    large(208, GIVEN_UP),
-    large(209, GIVEN_UP),
-    small(303, TAKEN_LATE),
-    small(305, TAKEN_LATE),
-    small(309, TAKEN_LATE),
-    small(314, TAKEN_LATE),
+    small(108, ACCEPTED_LATE),
+    small(109, ACCEPTED_LATE),
+    large(201, ABANDONED_ENGINE),
+    large(203, ACCEPTED_LATE),
+    large(204, ABANDONED_ENGINE),
+    large(208, ABANDONED_ENGINE),
+    large(209, ABANDONED_ENGINE),
+    small(303, ACCEPTED_LATE),
+    small(305, ACCEPTED_LATE),
+    small(309, ACCEPTED_LATE),
+    small(314, ACCEPTED_LATE),
     Regression(
         layout.SoakOptions(
             seed=501, seconds=60.0, nodes=40, engines=80, clients=100
         ),
-        "Streams without repeats left gave up an engine that was alive.",
+        "Streams with no retries left abandoned a live engine.",
     ),
 )
