--- a/tests/scenarios/datapath/paths.py
+++ b/tests/scenarios/datapath/paths.py
@@ -161,7 +161,7 @@
             await self.control(name, **NO_PLAIN_FAULTS)
         self.listed_leaving.clear()
         await self._restart_nodes()
-        await self.wait_recovered()
+        await self.wait_all_usable()
 
     async def _restart_nodes(self) -> None:
         dead = [n for n, node in self.nodes.items() if not node.is_running()]
@@ -175,9 +175,9 @@
     async def start(self, **options: Any) -> None:
         """Starts everything and waits until every engine can serve a stage."""
         await super().start(**options)
-        await self.wait_recovered()
+        await self.wait_all_usable()
 
-    async def wait_recovered(self) -> None:
+    async def wait_all_usable(self) -> None:
         """Waits until all engines hold layers and all nodes know it."""
         await self.wait_for(self._engines_hold, "all engines hold layers")
         await self.wait_for(
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -258,7 +258,7 @@
             self.rng.uniform(*THINK_TIME_S)
         )
         if stray:
-            self.judge.stray_bytes(connection.node, stray)
+            self.judge.report_stray_bytes(connection.node, stray)
 
     async def send_one(self, connection: NodeConnection) -> None:
         request = self.draw_request(connection.node)
--- a/tests/soak/judge.py
+++ b/tests/soak/judge.py
@@ -125,7 +125,7 @@
                 Promise.ANSWER, f"{node} listed unknown {unknown}"
             )
 
-    def stray_bytes(self, node: str, content: bytes) -> None:
+    def report_stray_bytes(self, node: str, content: bytes) -> None:
         self.report_violation(
             Promise.ANSWER, f"{node} sent unsolicited {content!r}"
         )
