--- a/bench/coordination.py
+++ b/bench/coordination.py
@@ -1,8 +1,8 @@
-"""Writes and reads at the platform for each claim, poll and lease.
+"""Measures platform reads and writes per claim, config poll and lease.
 
-Claims arrive at a fixed rate at one committer, as at a node or a relay; the
-baseline is the same load without grouping. The platform is the stand-in, in
-this process, with a set delay before each request takes effect.
+Claims arrive at a fixed rate at one process, as at a node or a relay; the
+baseline is the same load without grouped writes. The platform stand-in runs
+in this process and delays each request by a set time before it takes effect.
 
 Run: ``python -m bench.coordination``; takes about 50 seconds.
 """
@@ -44,7 +44,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Load:
-    """Claims a second, how many seconds, and the platform's delay."""
+    """Claims per second, duration in seconds and delay of the platform."""
 
     rate: float
     seconds: float
@@ -52,38 +52,42 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Outcome:
-    """What the claims of one run took."""
+class ClaimResults:
+    """Counts and latencies of the claims of one run."""
 
     finished: int = 0
     failed: int = 0
-    waits_s: list[float] = dataclasses.field(default_factory=list)
+    latencies_s: list[float] = dataclasses.field(default_factory=list)
 
 
-async def _ask(node: str, attempt: str) -> claim_attempts.ClaimantAnswer:
+async def _ask_claimant(
+    node: str, attempt: str
+) -> claim_attempts.ClaimantAnswer:
     return claim_attempts.ClaimantAnswer.UNKNOWN
 
 
-async def _serve(node: claims.Claims, key: str, outcome: Outcome) -> None:
+async def _claim_and_finish(
+    node: claims.Claims, key: str, outcome: ClaimResults
+) -> None:
     began = CLOCK.monotonic()
     result = await node.claim("a", "s", key, b"body", began + TIMEOUT_S)
     if result.is_error() or not isinstance(result.ok, claims.Claimed):
         outcome.failed += 1
         return
-    outcome.waits_s.append(CLOCK.monotonic() - began)
+    outcome.latencies_s.append(CLOCK.monotonic() - began)
     await node.finish(result.ok, RESULT)
     outcome.finished += 1
 
 
-async def _offer(node: claims.Claims, load: Load) -> Outcome:
-    outcome = Outcome()
+async def _run_claims(node: claims.Claims, load: Load) -> ClaimResults:
+    outcome = ClaimResults()
     began = CLOCK.monotonic()
     tasks = []
     for number in range(int(load.rate * load.seconds)):
         due = began + number / load.rate
         await CLOCK.sleep(max(0.0, due - CLOCK.monotonic()))
-        work = _serve(node, f"k{number}", outcome)
-        tasks.append(asyncio.create_task(work))
+        claim = _claim_and_finish(node, f"k{number}", outcome)
+        tasks.append(asyncio.create_task(claim))
     await asyncio.gather(*tasks)
     return outcome
 
@@ -93,7 +97,7 @@
     label: str,
     wrap: Callable[[stores.TableStore], stores.TableStore],
 ) -> None:
-    """Prints what claims at a rate cost the platform."""
+    """Prints the platform load and latency of claims at a fixed rate."""
     platform = server.create_platform(settings.PlatformSettings())
     await platform.start()
     platform.state.faults.set(faults.Switch(delay_s=load.delay_s))
@@ -102,18 +106,18 @@
     await table.start()
     await objects.start()
     node = claims.create_claims(
-        wrap(table), objects, CLOCK, random.Random(1), "n", _ask
+        wrap(table), objects, CLOCK, random.Random(1), "n", _ask_claimant
     )
-    outcome = await _offer(node, load)
+    outcome = await _run_claims(node, load)
     counts = platform.state.counters.current()
     done = max(1, outcome.finished)
-    waits = sorted(outcome.waits_s) or [0.0]
-    p99 = waits[int(0.99 * (len(waits) - 1))]
+    latencies = sorted(outcome.latencies_s) or [0.0]
+    p99 = latencies[int(0.99 * (len(latencies) - 1))]
     print(
         f"{label:9} {load.rate:5.0f} claims/s: "
         f"{counts.writes / done:5.2f} writes, {counts.reads / done:5.2f} "
         f"reads a claim; peak {counts.peak_writes_per_s:4d} writes/s; "
-        f"claimed in p50 {statistics.median(waits) * 1000:6.1f} "
+        f"claimed in p50 {statistics.median(latencies) * 1000:6.1f} "
         f"p99 {p99 * 1000:6.1f} ms; "
         f"{outcome.finished} finished, {outcome.failed} failed"
     )
@@ -122,13 +126,13 @@
     await platform.close()
 
 
-async def _watch(
+async def _measure_steady_rates(
     platform: server.PlatformServer,
     label: str,
     parts: Sequence[versioned_config.VersionedConfig[str] | lease.Lease],
     seconds: float,
 ) -> None:
-    """Prints the steady rates; what the start costs is left out."""
+    """Prints request rates in steady state, after the warm-up."""
     for part in parts:
         await part.start()
     await CLOCK.sleep(WARM_UP_S)
@@ -147,7 +151,7 @@
 
 
 async def measure_polls(nodes: int, seconds: float) -> None:
-    """Prints the reads of nodes that poll the head and watch a lease."""
+    """Prints the request rates of configuration polls and of a lease."""
     platform = server.create_platform(settings.PlatformSettings())
     await platform.start()
     table = platform_store.create_table_store(platform.address, TIMEOUT_S)
@@ -168,8 +172,8 @@
         )
         for number in range(nodes)
     ]
-    await _watch(platform, "polls", configs, seconds)
-    await _watch(platform, "lease", leases, seconds)
+    await _measure_steady_rates(platform, "polls", configs, seconds)
+    await _measure_steady_rates(platform, "lease", leases, seconds)
     await table.close()
     await platform.close()
 
@@ -186,7 +190,7 @@
 
 
 def main() -> None:
-    """Parses the command line and runs."""
+    """Parses the command line and runs the measurements."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=5.0)
     parser.add_argument("--delay-s", type=float, default=0.02)
--- a/bench/exchange.py
+++ b/bench/exchange.py
@@ -1,9 +1,9 @@
-"""What the exchange costs a node, by the number of nodes.
+"""Measures the cost of the gossip exchange per node, by cluster size.
 
-All nodes run in one process on a clock of their own, over an in-memory
-transport with the real codec. Each has the real load exchange, which tells
-of 820/390 engines for each node, as a busy system does: the numbers of every
-engine change each second, its state once in ``STATE_CHANGE_S``, and each
+All nodes run in one process on a simulated clock, over an in-memory
+transport with the real codec. Each runs the real load exchange with 820/390
+engines per node and the traffic of a busy system: the load of every engine
+changes each second, its state on average once in ``STATE_CHANGE_S``, and each
 node has requests of 20 accounts. The baseline is a full mesh that sends
 each node's own facts to every other node once a second, over the same codec.
 
@@ -46,48 +46,50 @@
 
     MessageHandler = Callable[[peers.PeerMessage], Awaitable[peers.PeerMessage]]
 
-SIZES = (3, 9, 27, 81)
-TARGET = 390
+CLUSTER_SIZES = (3, 9, 27, 81)
+TARGET_NODES = 390
 ENGINES_PER_NODE = 820 / 390
 FRESH_S = 10.0
-"""Age up to which a load counts as fresh."""
+"""Maximum age of a load report that counts as fresh."""
 
 STATE_CHANGE_S = 600.0
-ACCOUNTS = 20
+ACCOUNTS_PER_NODE = 20
 WARM_ROUNDS = 60
 ROUNDS = 20
-GAP_S = peer_types.MembershipSettings().urgent_gap_s
+URGENT_GAP_S = peer_types.MembershipSettings().urgent_gap_s
 MAX_FRAME_BYTES = 1_048_576
 FRAME_HEADER_BYTES = 4
 PACKET_BYTES = 66
-"""Ethernet, IPv4 and TCP heads with timestamps, of data or an ack."""
+"""Ethernet, IPv4 and TCP headers with timestamps, of data or an ACK."""
 
-LOAD = b'{"i":"0123456789abcdef","r":"serving","s":12,"q":3,"h":[["m",1,0,8]]}'
-USE = b'{"account-1":1200.5,"account-2":310.0,"account-3":88.25}'
+LOAD_FACT = (
+    b'{"i":"0123456789abcdef","r":"serving","s":12,"q":3,"h":[["m",1,0,8]]}'
+)
+USAGE_FACT = b'{"account-1":1200.5,"account-2":310.0,"account-3":88.25}'
 
 
 class BenchClock(clocks.Clock):
-    """A clock that the bench moves."""
+    """A clock that the benchmark advances."""
 
     def __init__(self) -> None:
         self.now = 100.0
 
     def monotonic(self) -> float:
-        """Returns the bench's time."""
+        """Returns the simulated time."""
         return self.now
 
     def wall(self) -> float:
-        """Returns the bench's time as of an epoch."""
+        """Returns the simulated time as seconds since the epoch."""
         return self.now + 1_700_000_000.0
 
     async def sleep(self, seconds: float) -> None:
-        """Does not wait."""
+        """Returns at once."""
         del seconds
 
 
 @dataclasses.dataclass(slots=True)
 class Traffic:
-    """What went over the transport."""
+    """Traffic over the transport, and time spent outside of the exchange."""
 
     messages: int = 0
     content_bytes: int = 0
@@ -96,13 +98,13 @@
 
     @property
     def wire_bytes(self) -> int:
-        """Bytes with frame and packet heads, an ack for each message."""
-        heads = FRAME_HEADER_BYTES + 2 * PACKET_BYTES
-        return self.content_bytes + self.messages * heads
+        """Bytes with frame and packet headers and an ACK per message."""
+        headers = FRAME_HEADER_BYTES + 2 * PACKET_BYTES
+        return self.content_bytes + self.messages * headers
 
 
 class CodecLink(peers.PeerLink):
-    """A link in memory that encodes and decodes each message."""
+    """An in-memory link that encodes and decodes each message."""
 
     def __init__(
         self, links: dict[str, CodecLink], address: str, traffic: Traffic
@@ -112,12 +114,12 @@
         self.traffic = traffic
 
     async def start(self, handler: MessageHandler) -> None:
-        """Takes calls."""
+        """Starts to accept calls."""
         self.handler = handler
         self.links[self.address] = self
 
     async def close(self) -> None:
-        """Takes no more calls."""
+        """Stops accepting calls."""
         self.links.pop(self.address, None)
 
     async def call(
@@ -127,12 +129,14 @@
         del timeout_s
         link = self.links.get(address)
         if link is None:
-            return expression.Error(errors.PeerUnreachable("not there"))
-        answer = await link.handler(self.carried(message))
-        return expression.Ok(self.carried(answer))
+            return expression.Error(
+                errors.PeerUnreachable("no link at this address")
+            )
+        answer = await link.handler(self.round_trip(message))
+        return expression.Ok(self.round_trip(answer))
 
-    def carried(self, message: peers.PeerMessage) -> peers.PeerMessage:
-        """Encodes, counts and decodes a message."""
+    def round_trip(self, message: peers.PeerMessage) -> peers.PeerMessage:
+        """Encodes and decodes a message and counts its bytes."""
         started = time.process_time()
         frame = peer_codec.Frame(1, message)
         content = peer_codec.encode(frame, MAX_FRAME_BYTES)
@@ -144,40 +148,40 @@
 
 
 class IdleRouter(routers.Router):
-    """A router that decides nothing; its own cost is in ``bench.load``."""
+    """A router that does nothing; ``bench.load`` measures router cost."""
 
     def handle(self, event: events.Event) -> list[actions.Action]:
-        """Takes an event."""
+        """Ignores an event."""
         del event
         return []
 
     def service_ready(self, service: str) -> bool:
-        """Returns that nothing is ready."""
+        """Reports every service as not ready."""
         del service
         return False
 
 
-class HeldLoads(directory.Directory):
-    """Endpoints without connections.
+class HeldLoadDirectory(directory.Directory):
+    """A directory of endpoints without connections.
 
     Attributes:
-        read_at: When the engine gave the newest load, by engine.
+        read_at: Time at which the newest load was read, by engine.
     """
 
     def __init__(self, clock: clocks.Clock, names: list[str]) -> None:
         self.clock = clock
-        self.endpoints = {n: directory.Endpoint(vm_of(n)) for n in names}
+        self.endpoints = {n: directory.Endpoint(make_vm(n)) for n in names}
         self.read_at: dict[str, float] = {}
 
     def take_peer_report(self, report: endpoints.LoadReport) -> None:
-        """Notes how old a load is."""
+        """Records when a load was read."""
         at = self.clock.monotonic() - report.age_s
         self.read_at[report.endpoint] = at
 
     def read(
         self, reports: list[endpoints.LoadReport], watches: set[str]
     ) -> None:
-        """Takes reports as if the watched engines had just given them."""
+        """Takes reports as if just read from the watched engines."""
         now = self.clock.monotonic()
         for report in reports:
             known = self.endpoints[report.endpoint]
@@ -188,14 +192,16 @@
                 self.read_at[report.endpoint] = now
 
 
-def vm_of(name: str) -> endpoints.Vm:
+def make_vm(name: str) -> endpoints.Vm:
     """Returns the VM of an engine."""
     kind = endpoints.EndpointKind.ENGINE
     state = endpoints.VmState.LIVE
     return endpoints.Vm(name, f"{name}:80", "zone", kind, "", state)
 
 
-def report_of(name: str, instance: int, load: int) -> endpoints.LoadReport:
+def make_load_report(
+    name: str, instance: int, load: int
+) -> endpoints.LoadReport:
     """Returns a load report of a busy engine."""
     span = layers.LayerRange(0, 8)
     return endpoints.LoadReport(
@@ -213,18 +219,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Cost:
-    """What a node costs on average, and how a change spread.
+    """Average cost per node and the time in which a change spreads.
 
     Attributes:
-        wire_bytes_s: Bytes sent and received a second.
-        cpu_share: Share of a core.
-        heap_bytes: Growth of the process for each node's state.
+        wire_bytes_s: Bytes sent and received per second.
+        cpu_share: Share of a processor core.
+        heap_bytes: Growth of resident memory per node.
         rounds: Rounds until each node had a configuration change, without
             extra rounds.
         seconds: Seconds until each node had one, with extra rounds.
         loads_share: Share of engine loads that a node holds.
         fresh_share: Share of them that are at most ``FRESH_S`` old.
-        age_p95_s: Age of the loads held, 95 in 100 are younger.
+        age_p95_s: 95th percentile of the age of the loads held.
     """
 
     nodes: int
@@ -240,7 +246,7 @@
 
 
 class System:
-    """Nodes on one clock."""
+    """A cluster of nodes that share a simulated clock."""
 
     def __init__(self, size: int) -> None:
         self.size = size
@@ -253,10 +259,10 @@
         self.instances = dict.fromkeys(self.names, 1)
         self.nodes: list[membership.Membership] = []
         self.exchanges: list[load_exchange.LoadExchange] = []
-        self.held: list[HeldLoads] = []
+        self.held: list[HeldLoadDirectory] = []
 
     async def seeds(self) -> list[str]:
-        """Returns two addresses."""
+        """Returns the addresses of two nodes."""
         return ["node-0:1", "node-1:1"]
 
     async def start(self) -> None:
@@ -281,8 +287,8 @@
             self.add_exchange(node)
 
     def add_exchange(self, node: membership.Membership) -> None:
-        """Gives a node its load exchange."""
-        held = HeldLoads(self.clock, self.names)
+        """Creates the load exchange of a node."""
+        held = HeldLoadDirectory(self.clock, self.names)
         exchange = load_exchange.create_load_exchange(
             node,
             held,
@@ -296,27 +302,27 @@
         self.exchanges.append(exchange)
 
     async def run_round(self, number: int) -> None:
-        """Does a round on each node, in a new order, over one second."""
+        """Runs a round on each node, in random order, within one second."""
         del number
         order = list(range(self.size))
         self.rng.shuffle(order)
         reports = self.new_reports()
         for index in order:
             self.clock.now += 1.0 / self.size
-            self.state_anew(index, reports)
+            self.publish_loads(index, reports)
             await self.nodes[index].run_round()
 
     def new_reports(self) -> list[endpoints.LoadReport]:
-        """Returns new numbers of all engines; a few start anew."""
+        """Returns new loads of all engines; a few engines restart."""
         for name in self.names:
             if self.rng.random() < 1.0 / STATE_CHANGE_S:
                 self.instances[name] += 1
         return [
-            report_of(name, instance, self.rng.randrange(1000))
+            make_load_report(name, instance, self.rng.randrange(1000))
             for name, instance in self.instances.items()
         ]
 
-    def state_anew(
+    def publish_loads(
         self, index: int, reports: list[endpoints.LoadReport]
     ) -> None:
         """Lets a node read its engines' loads and publish what is due."""
@@ -324,14 +330,14 @@
         watches = {name for name in self.names if exchange.watches(name)}
         started = time.process_time()
         self.held[index].read(reports, watches)
-        self.use_accounts(exchange.meter, index)
+        self.record_usage(exchange.meter, index)
         self.traffic.bench_s += time.process_time() - started
         exchange.publish()
 
-    def use_accounts(self, meter: usage.Usage, index: int) -> None:
-        """Notes requests of some accounts in flight on some engines."""
+    def record_usage(self, meter: usage.Usage, index: int) -> None:
+        """Records requests of some accounts in flight on some engines."""
         now = self.clock.monotonic()
-        for number in range(ACCOUNTS):
+        for number in range(ACCOUNTS_PER_NODE):
             request_id = f"{index}/{number}"
             engine = self.names[(index + number) % self.engines]
             meter.in_flight[engine] = 1 + number % 3
@@ -352,13 +358,13 @@
 
 
 def resident_bytes() -> int:
-    """Returns the memory of this process that is in use."""
+    """Returns the resident memory of this process."""
     pages = int(pathlib.Path("/proc/self/statm").read_text().split()[1])
     return pages * resource.getpagesize()
 
 
 async def measure(size: int) -> Cost:
-    """Runs a system and returns what a node costs."""
+    """Runs a cluster and returns the cost per node."""
     before = resident_bytes()
     system = System(size)
     await system.start()
@@ -386,15 +392,15 @@
         wire_bytes_s=wire_bytes_s,
         cpu_share=cpu_s / node_seconds,
         heap_bytes=heap,
-        rounds=await spread(system),
-        seconds=await spread_urgently(system),
+        rounds=await rounds_to_spread(system),
+        seconds=await urgent_spread_s(system),
         loads_share=len(ages) / pairs,
         fresh_share=sum(age <= FRESH_S for age in ages) / pairs,
         age_p95_s=ages[int(0.95 * (len(ages) - 1))],
     )
 
 
-async def spread(system: System) -> int:
+async def rounds_to_spread(system: System) -> int:
     """Returns the rounds until each node has a configuration change."""
     system.nodes[0].publish(peers.FactKind.CONFIG, "version", b"8", 600.0)
     rounds = 0
@@ -404,10 +410,11 @@
     return rounds
 
 
-async def spread_urgently(system: System) -> float:
-    """Returns the seconds until each node has a change, as daemons do it.
+async def urgent_spread_s(system: System) -> float:
+    """Returns the seconds until each node has a change, with urgent rounds.
 
-    A node that learns of it does an extra round after ``GAP_S`` at latest.
+    As in the daemons, a node that learns of the change runs an extra round
+    after ``URGENT_GAP_S`` at the latest.
     """
     for node in system.nodes:
         node.wake.clear()
@@ -418,39 +425,44 @@
         for node in system.nodes
     ):
         steps += 1
-        system.clock.now += GAP_S
-        if steps * GAP_S % 1.0 == 0:
+        system.clock.now += URGENT_GAP_S
+        if steps * URGENT_GAP_S % 1.0 == 0:
             await system.run_round(steps)
         for node in [n for n in system.nodes if n.wake.is_set()]:
             node.wake.clear()
             await node.run_round(urgent=True)
-    return steps * GAP_S
+    return steps * URGENT_GAP_S
 
 
 def mesh_bytes_s(size: int) -> float:
-    """Returns what a full mesh would cost a node, sent and received."""
+    """Returns bytes per second that a node of a full mesh would transfer."""
     own = [
         peers.Fact(
-            peers.FactKind.ENGINE_LOAD, f"engine-{n}", 1 << 60, "n", 60.0, LOAD
+            peers.FactKind.ENGINE_LOAD,
+            f"engine-{n}",
+            1 << 60,
+            "n",
+            60.0,
+            LOAD_FACT,
         )
         for n in range(round(ENGINES_PER_NODE))
     ]
     own.append(
         peers.Fact(
-            peers.FactKind.ACCOUNT_USE, "node-1", 1 << 60, "n", 60.0, USE
+            peers.FactKind.ACCOUNT_USE, "node-1", 1 << 60, "n", 60.0, USAGE_FACT
         )
     )
     message = peers.Exchange("node-1", "secret", (), tuple(own), ())
     answer = peers.Exchange("node-2", "secret", (), (), ())
     traffic = Traffic()
     link = CodecLink({}, "", traffic)
-    link.carried(message)
-    link.carried(answer)
+    link.round_trip(message)
+    link.round_trip(answer)
     return 2.0 * traffic.wire_bytes * (size - 1)
 
 
 async def compare(sizes: list[int]) -> None:
-    """Prints a table, and the slope to the target."""
+    """Prints a table and an extrapolation to the target size."""
     print(
         "nodes  msg/s  KB/s  mesh KB/s  cpu %  heap KB  rounds  sec  loads"
         "  fresh  age p95"
@@ -467,24 +479,28 @@
             f" {cost.fresh_share:6.2f} {cost.age_p95_s:8.1f}"
         )
     if len(costs) > 1:
-        print_slope(costs[-2], costs[-1])
+        print_extrapolation(costs[-2], costs[-1])
 
 
-def print_slope(smaller: Cost, larger: Cost) -> None:
-    """Prints the costs at the target on the line through two sizes."""
+def print_extrapolation(smaller: Cost, larger: Cost) -> None:
+    """Prints the costs at the target size, extrapolated from two sizes."""
     steps = larger.nodes - smaller.nodes
-    left = TARGET - larger.nodes
-    print(f"on the line through {smaller.nodes} and {larger.nodes} nodes:")
+    left = TARGET_NODES - larger.nodes
+    print(
+        f"extrapolated linearly from {smaller.nodes} and {larger.nodes} nodes:"
+    )
     for name in ("wire_bytes_s", "cpu_share", "heap_bytes"):
         high = getattr(larger, name)
         slope = (high - getattr(smaller, name)) / steps
-        print(f"  {name} at {TARGET}: {high + slope * left:.4g}")
+        print(f"  {name} at {TARGET_NODES}: {high + slope * left:.4g}")
 
 
 def main() -> None:
     """Measures the sizes named on the command line."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("sizes", nargs="*", type=int, default=list(SIZES))
+    parser.add_argument(
+        "sizes", nargs="*", type=int, default=list(CLUSTER_SIZES)
+    )
     asyncio.run(compare(parser.parse_args().sizes))
 
 
--- a/bench/hedging.py
+++ b/bench/hedging.py
@@ -1,9 +1,9 @@
-"""Hedging by threshold and step, measured in virtual time.
+"""Measures request hedging with several settings, in virtual time.
 
-Run with ``python -m bench.hedging``. A request without its first token after
-the threshold is also sent through another node, after each further step
-through one more; the first that gives a token goes on, the others are
-cancelled. Baseline: the same router without hedging.
+Run with ``python -m bench.hedging``. A request that has no first token
+after the threshold is also sent through another node, and after each further
+step through one more. The copy that gives the first token continues and the
+others are cancelled. Baseline: the same router without hedging.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
     from bench.virtual import nodes
 
 SEEDS = (1, 2)
-CHECK_S = 0.02
+CHECK_INTERVAL_S = 0.02
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -35,7 +35,7 @@
     Attributes:
         threshold_s: Time without a first token before the second copy.
         step_s: Time before each further one.
-        copies: Copies at most, the first one counted.
+        copies: Maximum number of copies, including the first.
     """
 
     threshold_s: float
@@ -49,7 +49,7 @@
     Hedge(0.3, 0.1, 2),
     Hedge(0.6, 0.2, 2),
 )
-"""None, the example of the paper, and two that send less."""
+"""None, the example of the paper, and two that send fewer copies."""
 
 
 @dataclasses.dataclass(slots=True, eq=False)
@@ -66,12 +66,12 @@
     """A cluster whose requests are hedged.
 
     Attributes:
-        hedge: When, or None for never.
-        extra: Copies sent beyond the first.
+        hedge: Hedging settings, or None for no hedging.
+        extra_sent: Copies sent beyond the first.
     """
 
     hedge: Hedge | None = None
-    extra = 0
+    extra_sent = 0
 
     def attempt(self, outcome: results.Outcome) -> None:
         """Sends a request and hedges it."""
@@ -80,7 +80,7 @@
         self._send_copy(copies)
         if self.hedge is not None:
             self.sim.after(self.hedge.threshold_s, self._send_more, copies)
-            self.sim.after(CHECK_S, self._settle, copies)
+            self.sim.after(CHECK_INTERVAL_S, self._check_first_token, copies)
 
     def _send_copy(self, copies: _Copies) -> None:
         arrival = self.next_arrival(copies.outcome)
@@ -89,104 +89,106 @@
         copies.sent += 1
         copies.running[arrival.request_id] = node
 
-        def ended(
+        def on_end(
             outcome: results.Outcome, refusal: actions.Refuse | None
         ) -> None:
             copies.running.pop(arrival.request_id, None)
             if not copies.running:
                 copies.settled = True
-                self.ended(outcome, refusal)
+                self.on_end(outcome, refusal)
 
-        node.ask(copies.outcome, arrival, ended)
+        node.submit(copies.outcome, arrival, on_end)
 
     def _send_more(self, copies: _Copies) -> None:
         assert self.hedge is not None
-        waits = copies.outcome.first_at is None and not copies.settled
-        if not waits or copies.sent >= self.hedge.copies:
+        is_waiting = copies.outcome.first_at is None and not copies.settled
+        if not is_waiting or copies.sent >= self.hedge.copies:
             return
-        self.extra += 1
+        self.extra_sent += 1
         self._send_copy(copies)
         self.sim.after(self.hedge.step_s, self._send_more, copies)
 
-    def _settle(self, copies: _Copies) -> None:
+    def _check_first_token(self, copies: _Copies) -> None:
         if copies.settled:
             return
         if copies.outcome.first_at is not None:
             copies.settled = True
             self._cancel_others(copies)
             return
-        self.sim.after(CHECK_S, self._settle, copies)
+        self.sim.after(CHECK_INTERVAL_S, self._check_first_token, copies)
 
     def _cancel_others(self, copies: _Copies) -> None:
-        ahead = max(
+        winner = max(
             copies.running, key=lambda r: copies.running[r].tokens_of(r)
         )
-        for request_id in [r for r in copies.running if r != ahead]:
+        for request_id in [r for r in copies.running if r != winner]:
             copies.running.pop(request_id).abandon(request_id)
 
 
 def _steady(times: float) -> Callable[[HedgingCluster, random.Random], None]:
     def play(cluster: HedgingCluster, rng: random.Random) -> None:
         rate = cluster.bound() * patterns.NORMAL_LOAD * times
-        loads.steady(cluster, rng, rate, 0.0, patterns.END_S)
+        loads.steady(cluster, rng, rate, 0.0, patterns.LOAD_END_S)
 
     return play
 
 
-def _slow(cluster: HedgingCluster, rng: random.Random) -> None:
+def _slow_endpoint(cluster: HedgingCluster, rng: random.Random) -> None:
     _steady(0.5)(cluster, rng)
 
     def slow_down() -> None:
         engine = cluster.engines[patterns.SLOW_ENGINE]
-        engine.slow = patterns.SLOW_FACTOR
+        engine.slowdown = patterns.SLOW_FACTOR
 
     cluster.at(patterns.FAULT_AT_S, slow_down)
 
 
-def _lost(cluster: HedgingCluster, rng: random.Random) -> None:
+def _lost_zone(cluster: HedgingCluster, rng: random.Random) -> None:
     _steady(0.5)(cluster, rng)
     cluster.at(
         patterns.FAULT_AT_S, lambda: cluster.lose_zone(patterns.LOST_ZONE)
     )
 
 
-PLAYED = {
+PATTERNS = {
     "steady 0.5x": _steady(0.5),
     "steady 1x": _steady(1.0),
-    "slow endpoint 0.5x": _slow,
-    "lost zone 0.5x": _lost,
+    "slow endpoint 0.5x": _slow_endpoint,
+    "lost zone 0.5x": _lost_zone,
     "steady 2x": _steady(2.0),
     "steady 4x": _steady(4.0),
 }
 
 
 def measure(name: str, hedge: Hedge | None) -> dict[str, Any]:
-    """Plays a pattern with all seeds and returns its figures."""
+    """Runs a pattern with all seeds and returns its figures."""
     merged = results.Results()
-    extra = 0
+    extra_sent = 0
     for seed in SEEDS:
         cluster = HedgingCluster(clusters.create_router, seed=seed)
         cluster.hedge = hedge
-        PLAYED[name](cluster, random.Random(seed))
-        played = cluster.run(patterns.END_S + patterns.TAIL_S)
-        part = played.between(patterns.SETTLED_S, patterns.END_S)
+        PATTERNS[name](cluster, random.Random(seed))
+        played = cluster.run(patterns.LOAD_END_S + patterns.TAIL_S)
+        part = played.between(patterns.MEASURE_START_S, patterns.LOAD_END_S)
         merged.outcomes += part.outcomes
-        extra += cluster.extra
-    good = sum(o.arrival.max_tokens for o in merged.outcomes if o.good)
-    seconds = (patterns.END_S - patterns.SETTLED_S) * len(SEEDS)
+        extra_sent += cluster.extra_sent
+    good_tokens = sum(
+        o.arrival.max_tokens for o in merged.outcomes if o.is_in_time
+    )
+    seconds = (patterns.LOAD_END_S - patterns.MEASURE_START_S) * len(SEEDS)
     return {
         "in_time_share": round(merged.good_share(), 3),
-        "good_tokens_per_s": round(good / seconds),
+        "good_tokens_per_s": round(good_tokens / seconds),
         "first_token_s": results.percentiles(merged.first_token_s()),
         "whole_s": results.percentiles(merged.whole_s()),
-        "extra_copies": extra,
+        "extra_copies": extra_sent,
     }
 
 
 def main() -> dict[str, Any]:
     """Measures all patterns and prints a line for each."""
     found: dict[str, Any] = {}
-    for name in PLAYED:
+    for name in PATTERNS:
         for hedge in HEDGES:
             label = "none" if hedge is None else str(hedge)
             found[f"{name}, {label}"] = figures = measure(name, hedge)
--- a/bench/load.py
+++ b/bench/load.py
@@ -1,6 +1,6 @@
-"""Decisions under load: the router against the baseline, in virtual time.
+"""Compares the router with the baseline under load, in virtual time.
 
-Run with ``python -m bench.load``. Each pattern is played once with the
+Run with ``python -m bench.load``. Each pattern is run once with the
 baseline and once with the router, with the same seed and the same requests.
 """
 
@@ -69,7 +69,7 @@
 
 
 def figures(played: patterns.Played) -> dict[str, Any]:
-    """Returns the figures of a pattern, times in seconds."""
+    """Returns the figures of a pattern run, times in seconds."""
     part = played.results.between(played.start, played.end)
     shares = part.account_shares()
     refusals = part.refusals()
@@ -89,57 +89,62 @@
             round(len(prompt) / len(refusals), 3) if refusals else None
         ),
         "retries_per_request": round(part.retries(), 3),
-        "stages_replaced": sum(o.replaced for o in part.outcomes),
+        "stages_replaced": sum(o.stages_replaced for o in part.outcomes),
     }
 
 
-def _row(name: str, kind: str, found: dict[str, Any]) -> str:
-    def three(values: list[float]) -> str:
+def _format_row(name: str, router_name: str, found: dict[str, Any]) -> str:
+    def format_percentiles(values: list[float]) -> str:
         return "/".join(f"{value:.3f}" for value in values)
 
     prompt = found["refusals_within_50_ms"]
     worst, best = found["worst_account_share"], found["best_account_share"]
     cells = (
         name,
-        kind,
+        router_name,
         f"{found['goodput_tokens_per_s']:.0f}",
         f"{found['goodput_by_bound']:.2f}",
         f"{found['in_time_share']:.3f}",
-        three(found["first_token_s"]),
-        three(found["between_tokens_s"]),
+        format_percentiles(found["first_token_s"]),
+        format_percentiles(found["between_tokens_s"]),
         f"{found['whole_s'][2]:.2f}",
         f"{worst:.2f}/{best:.2f}",
         str(found["refusals"]),
         "-" if prompt is None else f"{prompt:.2f}",
         f"{found['retries_per_request']:.2f}",
     )
-    return _line(cells)
+    return _format_line(cells)
 
 
-def _line(cells: tuple[str, ...]) -> str:
+def _format_line(cells: tuple[str, ...]) -> str:
     widths = (width for _, width in HEADINGS)
     return " ".join(f"{c:<{w}}" for c, w in zip(cells, widths, strict=True))
 
 
-def play_patterns() -> dict[str, dict[str, dict[str, Any]]]:
-    """Plays every pattern, prints the table and returns its figures."""
-    print(_line(tuple(heading for heading, _ in HEADINGS)))
+def run_patterns() -> dict[str, dict[str, dict[str, Any]]]:
+    """Runs every pattern, prints the table and returns its figures."""
+    print(_format_line(tuple(heading for heading, _ in HEADINGS)))
     found: dict[str, dict[str, dict[str, Any]]] = {}
     for name, play in PATTERNS:
         found[name] = {}
-        for kind, factory in ROUTERS.items():
-            found[name][kind] = figures(play(factory))
-            print(_row(name, kind, found[name][kind]), flush=True)
+        for router_name, factory in ROUTERS.items():
+            found[name][router_name] = figures(play(factory))
+            print(
+                _format_row(name, router_name, found[name][router_name]),
+                flush=True,
+            )
     return found
 
 
-def targets(found: dict[str, dict[str, dict[str, Any]]]) -> dict[str, Any]:
-    """Returns what the letter's targets ask for, as reached."""
+def target_values(
+    found: dict[str, dict[str, dict[str, Any]]],
+) -> dict[str, Any]:
+    """Returns the measured values of the performance targets."""
 
     def router_of(pattern: str) -> dict[str, Any]:
         return found[pattern]["router"]
 
-    short = _short_p99_ratio()
+    short = _short_request_p99_ratio()
     hot = patterns.hot_account(clusters.create_router, SEED, 10.0)
     part = hot.results.between(hot.start, hot.end)
     others = part.where(lambda o: o.arrival.account != patterns.HOT_ACCOUNT)
@@ -161,7 +166,7 @@
     }
 
 
-def _short_p99_ratio() -> float:
+def _short_request_p99_ratio() -> float:
     p99 = []
     for load in (0.0, 1.5):
         played = patterns.long_among_short(clusters.create_router, SEED, load)
@@ -173,26 +178,27 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Size:
-    """A size at which the cost of decisions is measured."""
+    """Cluster size at which the cost of decisions is measured."""
 
     peers: int
     engines: int
     accounts: int
 
 
-def _sized_router(size: Size) -> router_module.LoadRouter:
+def create_sized_router(size: Size) -> router_module.LoadRouter:
+    """Returns a router that knows all engines, accounts and peers of a size."""
     settings = router_module.RouterSettings(zone="z1")
-    made = router_module.create_router(random.Random(SEED), "n0", settings)
+    router = router_module.create_router(random.Random(SEED), "n0", settings)
     accounts = {
         f"a{i}": fleets.Account(f"a{i}", "") for i in range(size.accounts)
     }
-    made.handle(events.FleetChanged(0.0, clusters.make_fleet(accounts)))
+    router.handle(events.FleetChanged(0.0, clusters.make_fleet(accounts)))
     for index in range(size.engines):
         for event in _engine_events(index):
-            made.handle(event)
+            router.handle(event)
     for index in range(size.peers):
-        made.handle(_peer_load(index, size, 0.0))
-    return made
+        router.handle(_peer_load(index, size, 0.0))
+    return router
 
 
 def _engine_events(index: int) -> list[events.Event]:
@@ -208,9 +214,9 @@
 
 
 def _peer_load(index: int, size: Size, at: float) -> events.PeerLoad:
-    # At the target a node has some 8 requests a second in flight for a few
-    # seconds, each on three engines.
-    # A third of them ends or starts between two exchanges.
+    # At the target size a node accepts about 8 requests per second. Each is
+    # in flight for a few seconds on three engines, and a third of them ends
+    # or starts between two exchanges.
     rng = random.Random(index)
     names = sorted(clusters.ACCELERATORS)
     engines = [rng.randrange(size.engines) for _ in range(60)]
@@ -222,14 +228,14 @@
 
 
 def measure_cost(size: Size) -> dict[str, Any]:
-    """Measures processor time of decisions, in microseconds each."""
-    made = _sized_router(size)
+    """Measures processor time per decision, in microseconds."""
+    router = create_sized_router(size)
     found: dict[str, Any] = dataclasses.asdict(size)
-    found["arrival_us"] = _arrivals_us(made, size)
-    found["tick_us"] = _ticks_us(made, 100.0)
-    found["tick_waiting_us"] = _ticks_waiting_us(made, size)
-    found["report_us"] = _reports_us(made, size)
-    found["peer_load_us"] = _peer_loads_us(made, size)
+    found["arrival_us"] = _arrivals_us(router, size)
+    found["tick_us"] = _ticks_us(router, 100.0)
+    found["tick_waiting_us"] = _ticks_waiting_us(router, size)
+    found["report_us"] = _reports_us(router, size)
+    found["peer_load_us"] = _peer_loads_us(router, size)
     return found
 
 
@@ -248,37 +254,37 @@
     )
 
 
-def _arrivals_us(made: router_module.LoadRouter, size: Size) -> float:
-    """Times arrivals that are dispatched; each ends before the next."""
+def _arrivals_us(router: router_module.LoadRouter, size: Size) -> float:
+    """Times dispatched arrivals; each completes before the next."""
     spent = 0.0
     for number in range(ARRIVALS):
         at = 10.0 + number * 0.01
         event = _arrival(number, at, size)
         start = time.process_time()
-        decided = made.handle(event)
+        decided = router.handle(event)
         spent += time.process_time() - start
         assert isinstance(decided[0], actions.Dispatch)
-        made.handle(events.Completed(at, event.request_id))
+        router.handle(events.Completed(at, event.request_id))
     return round(spent / ARRIVALS * 1e6, 1)
 
 
-def _ticks_us(made: router_module.LoadRouter, at: float) -> float:
+def _ticks_us(router: router_module.LoadRouter, at: float) -> float:
     start = time.process_time()
     for number in range(TICKS):
-        made.handle(events.Tick(at + number * 1e-4))
+        router.handle(events.Tick(at + number * 1e-4))
     return round((time.process_time() - start) / TICKS * 1e6, 1)
 
 
-def _ticks_waiting_us(made: router_module.LoadRouter, size: Size) -> float:
-    """Times ticks while requests of many accounts wait."""
+def _ticks_waiting_us(router: router_module.LoadRouter, size: Size) -> float:
+    """Times ticks while requests of many accounts are queued."""
     number = ARRIVALS
-    while len(made.waiting) < 50 and number < ARRIVALS + 100_000:
-        made.handle(_arrival(number, 200.0, size))
+    while len(router.waiting) < 50 and number < ARRIVALS + 100_000:
+        router.handle(_arrival(number, 200.0, size))
         number += 1
-    return _ticks_us(made, 200.1)
+    return _ticks_us(router, 200.1)
 
 
-def _reports_us(made: router_module.LoadRouter, size: Size) -> float:
+def _reports_us(router: router_module.LoadRouter, size: Size) -> float:
     reports = [_engine_events(i)[1] for i in range(size.engines)]
     later = [
         dataclasses.replace(report, at=300.0)
@@ -287,15 +293,15 @@
     ]
     start = time.process_time()
     for report in later:
-        made.handle(report)
+        router.handle(report)
     return round((time.process_time() - start) / len(later) * 1e6, 1)
 
 
-def _peer_loads_us(made: router_module.LoadRouter, size: Size) -> float:
+def _peer_loads_us(router: router_module.LoadRouter, size: Size) -> float:
     loads = [_peer_load(i, size, 301.0) for i in range(size.peers)]
     start = time.process_time()
     for load in loads:
-        made.handle(load)
+        router.handle(load)
     return round((time.process_time() - start) / len(loads) * 1e6, 1)
 
 
@@ -308,14 +314,14 @@
 
 
 def main() -> dict[str, Any]:
-    """Plays the patterns and measures costs; returns all figures."""
-    played = play_patterns()
-    reached = targets(played)
-    for name, value in reached.items():
+    """Runs the patterns and measures costs; returns all figures."""
+    played = run_patterns()
+    values = target_values(played)
+    for name, value in values.items():
         print(f"{name}: {value:.3f}")
     return {
         "patterns": played,
-        "targets": reached,
+        "targets": values,
         "costs": measure_costs(),
     }
 
--- a/bench/node_memory.py
+++ b/bench/node_memory.py
@@ -1,9 +1,9 @@
-"""Measures the memory of one node's state by the size of the system.
+"""Measures the memory of one node's state by cluster size.
 
-Run as ``python -m bench.node_memory NODES ENGINES ACCOUNTS``, one size for
-each process. Prints the resident megabytes after the imports of the daemon,
-after the configuration, after the router's state and after the facts of the
-exchange, each with what came before. Requests in flight are not in it.
+Run as ``python -m bench.node_memory NODES ENGINES ACCOUNTS``, one process per
+size. Prints the resident megabytes after each step: the imports of the daemon,
+the configuration, the router's state and the facts of the exchange. The
+figures are cumulative and don't include requests in flight.
 """
 
 from __future__ import annotations
@@ -16,30 +16,30 @@
 from bench import configuration
 from bench import exchange
 
-MB = 1e6
+BYTES_PER_MB = 1e6
 
 
-def megabytes() -> float:
-    """Returns the resident memory of this process."""
-    return round(exchange.resident_bytes() / MB, 1)
+def resident_mb() -> float:
+    """Returns the resident memory of this process in megabytes."""
+    return round(exchange.resident_bytes() / BYTES_PER_MB, 1)
 
 
 def measure(nodes: int, engines: int, accounts: int) -> dict[str, float]:
-    """Returns the megabytes after each step."""
+    """Returns the resident megabytes after each step."""
     importlib.import_module("almondshift.daemons.node")
-    found = {"imports": megabytes()}
+    megabytes = {"imports": resident_mb()}
     text = configuration.create_text(accounts)
     parsed = configuration.fleet_text.parse(text, 1)
     assert parsed.is_ok()
-    found["configuration"] = megabytes()
+    megabytes["configuration"] = resident_mb()
     load = importlib.import_module("bench.load")
-    found["bench itself"] = megabytes()
-    router = load._sized_router(load.Size(nodes, engines, accounts))
-    found["router"] = megabytes()
+    megabytes["bench itself"] = resident_mb()
+    router = load.create_sized_router(load.Size(nodes, engines, accounts))
+    megabytes["router"] = resident_mb()
     watching = importlib.import_module("bench.watching")
     membership = watching.make_membership(nodes)
     for number in range(engines):
-        report = exchange.report_of(f"engine-{number}", 1, 9)
+        report = exchange.make_load_report(f"engine-{number}", 1, 9)
         membership.publish(
             exchange.peers.FactKind.ENGINE_LOAD,
             report.endpoint,
@@ -53,9 +53,9 @@
             bytes(1_000),
             900.0,
         )
-    found["exchange"] = megabytes()
+    megabytes["exchange"] = resident_mb()
     assert router is not None
-    return found
+    return megabytes
 
 
 def main() -> None:
@@ -64,8 +64,8 @@
     for name in ("nodes", "engines", "accounts"):
         parser.add_argument(name, type=int)
     chosen = parser.parse_args()
-    found = measure(chosen.nodes, chosen.engines, chosen.accounts)
-    print(json.dumps({**vars(chosen), **found}))
+    megabytes = measure(chosen.nodes, chosen.engines, chosen.accounts)
+    print(json.dumps({**vars(chosen), **megabytes}))
 
 
 if __name__ == "__main__":
--- a/bench/virtual/clusters.py
+++ b/bench/virtual/clusters.py
@@ -1,4 +1,4 @@
-"""Engines, nodes and callers put together."""
+"""A simulated cluster of engines, nodes and callers."""
 
 from __future__ import annotations
 
@@ -29,15 +29,15 @@
 ZONES = ("z1", "z2", "z3")
 SAME_ZONE_S = 0.0002
 OTHER_ZONE_S = 0.0008
-REPORT_EVERY_S = 0.5
+REPORT_INTERVAL_S = 0.5
 REPORT_LAG_S = 0.3
-PEER_EVERY_S = 1.0
+PEER_INTERVAL_S = 1.0
 PEER_LAG_S = 0.7
-CACHE_EVERY_S = 0.5
-CACHE_LOSS = 0.01
+CACHE_EVENT_INTERVAL_S = 0.5
+CACHE_EVENT_LOSS = 0.01
 MAX_ATTEMPTS = 4
 WARM_UP_S = 1.5
-"""Reports arrive in this time, before the first request."""
+"""Time before the first request, in which the first reports arrive."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -45,13 +45,13 @@
     """One engine of a cluster."""
 
     accelerator: str
-    span: tuple[int, int]
+    layer_span: tuple[int, int]
     zone: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Accelerator:
-    """Times and sizes of a kind of accelerator."""
+    """Speed and limits of a kind of accelerator."""
 
     fixed_s: float
     per_layer_token_s: float
@@ -81,11 +81,11 @@
     EngineSpec("small", (4, 8), "z3"),
     EngineSpec("small", (8, 12), "z1"),
 )
-"""Mixed accelerators, with ranges that do not all meet."""
+"""Mixed accelerators, with layer ranges that don't all align."""
 
 
 def create_baseline(rng: random.Random, node: str, zone: str) -> routers.Router:
-    """Returns the named baseline."""
+    """Returns the baseline router."""
     del node, zone
     return baseline.create_baseline_router(rng)
 
@@ -151,14 +151,14 @@
     def bound(self, prompt_tokens: int = 32, max_tokens: int = 32) -> float:
         """Returns the hardware bound in generated tokens a second.
 
-        Each generated token carries its part of the prompt: the prompt's
-        tokens cost their work, and each chunk of it a place in a batch.
+        Each generated token is charged a share of its prompt: the work of the
+        prompt's tokens, and a place in a batch for each chunk.
         """
-        chunks = -(-prompt_tokens // nodes_module.CHUNK)
+        chunks = -(-prompt_tokens // nodes_module.CHUNK_TOKENS)
         return flow.bound_tokens_per_s(
             (
                 flow.FlowEngine(
-                    _with_prompts(
+                    _with_prompt_cost(
                         e.description,
                         chunks / max_tokens,
                         prompt_tokens / max_tokens,
@@ -167,21 +167,21 @@
                     e.zone,
                 )
                 for e in self.engines.values()
-                if not e.dead
+                if not e.is_dead
             ),
             LAYERS,
         )
 
     def send(self, at: float, arrival: events.Arrival) -> None:
-        """Lets a caller send a request at a time after the warm-up."""
+        """Schedules a caller's request, in seconds after the warm-up."""
         self.sim.after(WARM_UP_S + at, self._send, arrival)
 
     def at(self, at: float, change: Callable[[], None]) -> None:
-        """Makes a change at a time after the warm-up."""
+        """Schedules a change, in seconds after the warm-up."""
         self.sim.after(WARM_UP_S + at, change)
 
     def run(self, seconds: float) -> results_module.Results:
-        """Runs for a time after the warm-up; times start at 0 then."""
+        """Runs for a time after the warm-up, which is time 0 in the results."""
         self.sim.run(WARM_UP_S + seconds)
         for outcome in self.results.outcomes:
             outcome.sent_at -= WARM_UP_S
@@ -212,27 +212,27 @@
             zone,
             factory(rng, name, zone),
             self.engines,
-            self._link_s,
+            self._link_latency_s,
         )
 
-    def _link_s(self, zone_a: str, zone_b: str) -> float:
+    def _link_latency_s(self, zone_a: str, zone_b: str) -> float:
         extra = self.zone_extra_s.get(zone_b, 0.0)
         return extra + (SAME_ZONE_S if zone_a == zone_b else OTHER_ZONE_S)
 
     def _start(self, fleet: fleets.Fleet) -> None:
         for node in self.nodes:
-            node.tell(events.FleetChanged(0.0, fleet))
+            node.handle_event(events.FleetChanged(0.0, fleet))
             for engine in self.engines.values():
-                node.tell(
+                node.handle_event(
                     events.EndpointSeen(0.0, engine.vm, engine.description)
                 )
-        self.sim.every(REPORT_EVERY_S, self._report)
-        self.sim.every(PEER_EVERY_S, self._exchange)
-        self.sim.every(CACHE_EVERY_S, self._publish_caches)
+        self.sim.every(REPORT_INTERVAL_S, self._send_reports)
+        self.sim.every(PEER_INTERVAL_S, self._exchange_loads)
+        self.sim.every(CACHE_EVENT_INTERVAL_S, self._publish_caches)
 
-    def _report(self) -> None:
+    def _send_reports(self) -> None:
         for engine in self.engines.values():
-            if engine.dead:
+            if engine.is_dead:
                 continue
             for node in self.nodes:
                 lag = REPORT_LAG_S * self.rng.uniform(0.5, 1.5)
@@ -242,13 +242,13 @@
     def _deliver_report(
         self, node: nodes_module.VirtualNode, report: endpoints.LoadReport
     ) -> None:
-        node.tell(events.LoadReported(self.sim.now, report))
+        node.handle_event(events.LoadReported(self.sim.now, report))
 
-    def _exchange(self) -> None:
+    def _exchange_loads(self) -> None:
         for node in self.nodes:
             in_flight = node.in_flight()
             used = {
-                name: cost / PEER_EVERY_S
+                name: cost / PEER_INTERVAL_S
                 for name, cost in node.account_use.items()
             }
             node.account_use.clear()
@@ -267,7 +267,7 @@
         in_flight: dict[str, int],
         used: dict[str, float],
     ) -> None:
-        node.tell(events.PeerLoad(self.sim.now, name, in_flight, used))
+        node.handle_event(events.PeerLoad(self.sim.now, name, in_flight, used))
 
     def _publish_caches(self) -> None:
         for name, engine in self.engines.items():
@@ -276,14 +276,14 @@
                 continue
             for node in self.nodes:
                 kept = tuple(
-                    c for c in changes if self.rng.random() > CACHE_LOSS
+                    c for c in changes if self.rng.random() > CACHE_EVENT_LOSS
                 )
-                node.tell(events.CacheChanged(self.sim.now, name, kept))
+                node.handle_event(events.CacheChanged(self.sim.now, name, kept))
 
     def _send(self, arrival: events.Arrival) -> None:
         now = self.sim.now
-        patience = arrival.deadline - arrival.at
-        outcome = results_module.Outcome(arrival, now, now + patience)
+        timeout_s = arrival.deadline - arrival.at
+        outcome = results_module.Outcome(arrival, now, now + timeout_s)
         self.results.outcomes.append(outcome)
         self.attempt(outcome)
 
@@ -291,21 +291,21 @@
         """Lets a caller send its request, for the first time or again."""
         outcome.attempts += 1
         arrival = self.next_arrival(outcome)
-        self.rng.choice(self.nodes).ask(outcome, arrival, self.ended)
+        self.rng.choice(self.nodes).submit(outcome, arrival, self.on_end)
 
     def next_arrival(self, outcome: results_module.Outcome) -> events.Arrival:
         """Returns a request with an id of its own.
 
-        A caller who was refused asks with the time it has left; one who
-        got nothing in time starts over.
+        A caller that was refused keeps its deadline; one whose deadline has
+        passed gets a new one.
         """
         self._attempts += 1
         now = self.sim.now
-        patience = outcome.arrival.deadline - outcome.arrival.at
+        timeout_s = outcome.arrival.deadline - outcome.arrival.at
         if now < outcome.deadline:
             deadline = outcome.deadline
         else:
-            deadline = now + patience
+            deadline = now + timeout_s
         return dataclasses.replace(
             outcome.arrival,
             at=now,
@@ -313,16 +313,16 @@
             deadline=deadline,
         )
 
-    def ended(
+    def on_end(
         self,
         outcome: results_module.Outcome,
         refusal: actions.Refuse | None,
     ) -> None:
-        """Lets a caller whose request ended ask again, or not."""
+        """Lets a caller whose request ended retry if it may."""
         if outcome.done_at is not None or outcome.attempts >= MAX_ATTEMPTS:
             return
         if refusal is None:
-            # The caller gave up waiting and asks once more.
+            # The request timed out; the caller retries once.
             if outcome.attempts < 2:
                 self.sim.after(self.rng.random(), self.attempt, outcome)
             return
@@ -332,10 +332,10 @@
             self.sim.after(refusal.retry_after_s, self.attempt, outcome)
 
 
-def _with_prompts(
+def _with_prompt_cost(
     description: endpoints.EndpointDescription, chunks: float, tokens: float
 ) -> endpoints.EndpointDescription:
-    """Spreads the cost of prompts over generated tokens."""
+    """Adds each prompt's cost to the cost of its generated tokens."""
     return dataclasses.replace(
         description,
         fixed_s=description.fixed_s * (1.0 + chunks),
@@ -346,20 +346,20 @@
 def make_engine(
     sim: simulation.Simulation, index: int, spec: EngineSpec
 ) -> engines_module.VirtualEngine:
-    """Returns an engine that holds its range ready."""
+    """Returns an engine whose layer range is loaded and ready."""
     name = f"e{index}-{spec.accelerator}"
-    kind = ACCELERATORS[spec.accelerator]
+    accelerator = ACCELERATORS[spec.accelerator]
     description = endpoints.EndpointDescription(
         name,
         f"{name}-1",
         spec.accelerator,
-        kind.layer_capacity,
-        kind.fixed_s,
-        kind.per_layer_token_s,
-        kind.max_batch,
-        kind.max_sessions,
+        accelerator.layer_capacity,
+        accelerator.fixed_s,
+        accelerator.per_layer_token_s,
+        accelerator.max_batch,
+        accelerator.max_sessions,
     )
     holding = endpoints.Holding(
-        MODEL, 1, "", layers.LayerRange(*spec.span), True
+        MODEL, 1, "", layers.LayerRange(*spec.layer_span), True
     )
     return engines_module.VirtualEngine(sim, description, spec.zone, (holding,))
--- a/bench/virtual/engines.py
+++ b/bench/virtual/engines.py
@@ -1,4 +1,4 @@
-"""A model of an engine: sessions, priorities, batches, prefix cache."""
+"""A simulated engine with sessions, priorities, batches and prefix cache."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
     from almondshift.model import layers
     from bench.virtual import simulation
 
-CACHE_SIZE = 16
+CACHED_PREFIXES = 16
 
 
 @dataclasses.dataclass(slots=True)
 class Item:
-    """Positions of one request for one engine."""
+    """Work of one request for one engine."""
 
     request_id: str
     priority: int
@@ -31,11 +31,11 @@
 
 
 class VirtualEngine:
-    """Runs items in batches; can be slow or dead.
+    """Runs items in batches; can be slowed down or killed.
 
     Attributes:
-        slow: Factor on the time of a batch.
-        dead: Set when it is lost; items are then never answered.
+        slowdown: Factor on the duration of a batch.
+        is_dead: Whether the engine was killed; it then answers no items.
     """
 
     def __init__(
@@ -49,9 +49,9 @@
         self.description = description
         self.zone = zone
         self.holdings = holdings
-        self.slow = 1.0
+        self.slowdown = 1.0
         self.extra_link_s = 0.0
-        self.dead = False
+        self.is_dead = False
         self.sessions: set[str] = set()
         self.busy_s = 0.0
         self._waiting: list[tuple[int, int, Item]] = []
@@ -63,7 +63,7 @@
 
     @property
     def vm(self) -> endpoints.Vm:
-        """Its row of the VM list."""
+        """The engine's entry in the VM list."""
         name = self.description.name
         return endpoints.Vm(
             name,
@@ -78,8 +78,8 @@
         """Returns the range of its first holding."""
         return self.holdings[0].layers
 
-    def accepts(self, request_id: str) -> bool:
-        """Opens a session, unless its memory is full."""
+    def open_session(self, request_id: str) -> bool:
+        """Opens a session unless ``max_sessions`` are open."""
         if request_id in self.sessions:
             return True
         if len(self.sessions) >= self.description.max_sessions:
@@ -95,16 +95,16 @@
             self._run_batch()
 
     def cancel(self, request_id: str) -> None:
-        """Drops a session and its queued items."""
+        """Closes a session; its queued items are then skipped."""
         self.sessions.discard(request_id)
 
     def kill(self) -> None:
-        """Loses the engine with all that is in it."""
-        self.dead = True
-        lost = self._running + [entry[2] for entry in self._waiting]
+        """Fails the engine with all of its queued and running items."""
+        self.is_dead = True
+        failed_items = self._running + [entry[2] for entry in self._waiting]
         self._waiting.clear()
         self._running = []
-        for item in lost:
+        for item in failed_items:
             item.failed()
 
     def report(self, age_s: float) -> endpoints.LoadReport:
@@ -137,42 +137,42 @@
         if not batch:
             return
         self._running = batch
-        work = sum(self._tokens(item) * item.layers for item in batch)
+        work = sum(self._uncached_tokens(item) * item.layers for item in batch)
         seconds = self.description.fixed_s
         seconds += self.description.per_layer_token_s * work
-        seconds *= self.slow
+        seconds *= self.slowdown
         self.busy_s += seconds
         self.sim.after(seconds, self._finish, batch)
 
     def _finish(self, batch: list[Item]) -> None:
-        if self.dead:
+        if self.is_dead:
             return
         self._running = []
         for item in batch:
-            self._remember(item.prefixes)
+            self._cache_prefixes(item.prefixes)
             item.done()
         if not self._running:
             self._run_batch()
 
-    def _tokens(self, item: Item) -> float:
-        """Returns the positions to compute; cached ones cost nothing."""
+    def _uncached_tokens(self, item: Item) -> float:
+        """Returns the tokens to compute, without those of cached prefixes."""
         for index, prefix in enumerate(item.prefixes):
             if prefix in self._cache:
                 return item.tokens * index / len(item.prefixes)
         return item.tokens
 
-    def _remember(self, prefixes: tuple[int, ...]) -> None:
+    def _cache_prefixes(self, prefixes: tuple[int, ...]) -> None:
         for prefix in prefixes:
             known = prefix in self._cache
             self._cache.pop(prefix, None)
             self._cache[prefix] = None
             if not known:
-                self._note(prefix, added=True)
-            if len(self._cache) > CACHE_SIZE:
+                self._record_event(prefix, added=True)
+            if len(self._cache) > CACHED_PREFIXES:
                 oldest = next(iter(self._cache))
                 del self._cache[oldest]
-                self._note(oldest, added=False)
+                self._record_event(oldest, added=False)
 
-    def _note(self, prefix: int, *, added: bool) -> None:
+    def _record_event(self, prefix: int, *, added: bool) -> None:
         self._sequence += 1
         self._events.append(endpoints.CacheEvent(self._sequence, prefix, added))
--- a/bench/virtual/loads.py
+++ b/bench/virtual/loads.py
@@ -1,4 +1,4 @@
-"""Streams of requests."""
+"""Generates requests of simulated callers."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Shape:
-    """What one kind of request looks like.
+    """Size, deadline and priority of one kind of request.
 
     Attributes:
-        deadline_s: How long its caller waits for the whole answer.
-        prefix: Digest of a prefix that all of them share, or 0.
+        deadline_s: How long the caller waits for the whole answer.
+        prefix: Digest of the prompt prefix that all share, or 0 for none.
     """
 
     prompt_tokens: int = 32
@@ -52,13 +52,16 @@
     accounts: tuple[str, ...] = ACCOUNTS,
     prefixes: int = 0,
 ) -> None:
-    """Sends requests at random times, at a mean rate of tokens wanted."""
+    """Sends requests at random times, at a mean rate of output tokens."""
     rate = tokens_per_s / shape.max_tokens
     at = start + rng.expovariate(rate)
     while at < end:
-        own = (rng.randrange(1, prefixes + 1),) if prefixes else ()
-        shared = (shape.prefix,) if shape.prefix else ()
-        cluster.send(at, _arrival(shape, rng.choice(accounts), shared or own))
+        own_prefix = (rng.randrange(1, prefixes + 1),) if prefixes else ()
+        shared_prefix = (shape.prefix,) if shape.prefix else ()
+        cluster.send(
+            at,
+            _arrival(shape, rng.choice(accounts), shared_prefix or own_prefix),
+        )
         at += rng.expovariate(rate)
 
 
--- a/bench/virtual/results.py
+++ b/bench/virtual/results.py
@@ -1,4 +1,4 @@
-"""What callers received, and figures from it."""
+"""Outcomes of callers' requests, and figures computed from them."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
     from almondshift.policy import actions
     from almondshift.policy import events
 
-_MICROS = 1_000_000
-_LONGEST_S = 3600
+_MICROSECONDS_PER_S = 1_000_000
+_MAX_RECORDED_S = 3600
 PROMPT_REFUSAL_S = 0.05
 
 
@@ -25,8 +25,8 @@
 
     Attributes:
         sent_at: When it was first sent.
-        deadline: When its caller no longer wants the answer.
-        refusals: Seconds from each sending to its refusal.
+        deadline: Time until which the caller waits for the answer.
+        refusals: Seconds from each refused attempt to its refusal.
     """
 
     arrival: events.Arrival
@@ -37,14 +37,14 @@
     done_at: float | None = None
     gaps: list[float] = dataclasses.field(default_factory=list)
     refusals: list[float] = dataclasses.field(default_factory=list)
-    reasons: list[actions.RefusalReason] = dataclasses.field(
+    refusal_reasons: list[actions.RefusalReason] = dataclasses.field(
         default_factory=list
     )
-    replaced: int = 0
+    stages_replaced: int = 0
 
     @property
-    def good(self) -> bool:
-        """Whether the whole answer came within the deadline."""
+    def is_in_time(self) -> bool:
+        """Whether the whole answer arrived within the deadline."""
         return self.done_at is not None and self.done_at <= self.deadline
 
     @property
@@ -54,7 +54,7 @@
 
     @property
     def late_refusals(self) -> list[float]:
-        """Refusals that came later than 50 ms after the sending."""
+        """Refusals more than 50 ms after the request was sent."""
         return [s for s in self.refusals if s > PROMPT_REFUSAL_S]
 
 
@@ -64,20 +64,22 @@
 
     outcomes: list[Outcome] = dataclasses.field(default_factory=list)
 
-    def where(self, keep: Callable[[Outcome], bool]) -> Results:
-        """Returns a part of the results."""
-        return Results([o for o in self.outcomes if keep(o)])
+    def where(self, predicate: Callable[[Outcome], bool]) -> Results:
+        """Returns the results that satisfy a predicate."""
+        return Results([o for o in self.outcomes if predicate(o)])
 
     def between(self, start: float, end: float) -> Results:
-        """Returns the requests first sent in a time."""
+        """Returns the results of requests first sent in ``[start, end)``."""
         return self.where(lambda o: start <= o.sent_at < end)
 
     def goodput(self, start: float, end: float) -> float:
-        """Returns generated tokens a second of good answers ended in it."""
+        """Returns tokens per second of answers within deadline in a period."""
         tokens = sum(
             o.arrival.max_tokens
             for o in self.outcomes
-            if o.good and o.done_at is not None and start <= o.done_at < end
+            if o.is_in_time
+            and o.done_at is not None
+            and start <= o.done_at < end
         )
         return tokens / (end - start)
 
@@ -85,34 +87,34 @@
         """Returns the share of requests answered in time."""
         if not self.outcomes:
             return 0.0
-        return sum(o.good for o in self.outcomes) / len(self.outcomes)
+        return sum(o.is_in_time for o in self.outcomes) / len(self.outcomes)
 
     def first_token_s(self) -> list[float]:
-        """Returns the times to the first token of good answers."""
+        """Returns times to first token of answers within their deadline."""
         return [
             o.first_at - o.sent_at
             for o in self.outcomes
-            if o.good and o.first_at is not None
+            if o.is_in_time and o.first_at is not None
         ]
 
     def whole_s(self) -> list[float]:
-        """Returns the times to the whole answer, of good ones."""
+        """Returns times to completion of answers within their deadline."""
         return [
             o.done_at - o.sent_at
             for o in self.outcomes
-            if o.good and o.done_at is not None
+            if o.is_in_time and o.done_at is not None
         ]
 
     def gaps(self) -> list[float]:
-        """Returns the times between tokens of good answers."""
-        return [gap for o in self.outcomes if o.good for gap in o.gaps]
+        """Returns times between tokens of answers within their deadline."""
+        return [gap for o in self.outcomes if o.is_in_time for gap in o.gaps]
 
     def refusals(self) -> list[float]:
-        """Returns the times from sending to refusal."""
+        """Returns the times from each refused attempt to its refusal."""
         return [s for o in self.outcomes for s in o.refusals]
 
     def retries(self) -> float:
-        """Returns attempts beyond the first for each request."""
+        """Returns the mean number of retries per request."""
         if not self.outcomes:
             return 0.0
         extra = sum(max(0, o.attempts - 1) for o in self.outcomes)
@@ -127,14 +129,17 @@
 
 
 def percentiles(
-    seconds: Iterable[float], points: tuple[float, ...] = (50, 95, 99)
+    seconds: Iterable[float], percents: tuple[float, ...] = (50, 95, 99)
 ) -> list[float]:
-    """Returns percentiles in seconds, 0.0 where nothing was measured."""
-    recorded = histogram.HdrHistogram(1, _LONGEST_S * _MICROS, 3)
+    """Returns percentiles in seconds, or 0.0 if there are no values."""
+    recorded = histogram.HdrHistogram(
+        1, _MAX_RECORDED_S * _MICROSECONDS_PER_S, 3
+    )
     for value in seconds:
-        recorded.record_value(max(1, round(value * _MICROS)))
+        recorded.record_value(max(1, round(value * _MICROSECONDS_PER_S)))
     if recorded.total_count == 0:
-        return [0.0 for _ in points]
+        return [0.0 for _ in percents]
     return [
-        recorded.get_value_at_percentile(point) / _MICROS for point in points
+        recorded.get_value_at_percentile(point) / _MICROSECONDS_PER_S
+        for point in percents
     ]
--- a/bench/virtual/simulation.py
+++ b/bench/virtual/simulation.py
@@ -1,4 +1,4 @@
-"""An event queue in virtual time."""
+"""A discrete-event simulation with a virtual clock."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class Simulation:
-    """Runs callbacks in the order of their time.
+    """Runs callbacks in order of their scheduled times.
 
     Attributes:
-        now: Virtual seconds.
+        now: Current virtual time in seconds.
     """
 
     def __init__(self) -> None:
@@ -27,23 +27,23 @@
     def after(
         self, seconds: float, callback: Callable[..., None], *args: Any
     ) -> None:
-        """Calls ``callback(*args)`` after a time."""
+        """Schedules ``callback(*args)`` after ``seconds``."""
         self._order += 1
         heapq.heappush(
             self._queue, (self.now + seconds, self._order, callback, args)
         )
 
     def every(self, seconds: float, callback: Callable[[], None]) -> None:
-        """Calls ``callback`` again and again, first after ``seconds``."""
+        """Calls ``callback`` every ``seconds``, first after ``seconds``."""
 
-        def again() -> None:
+        def run_and_reschedule() -> None:
             callback()
-            self.after(seconds, again)
+            self.after(seconds, run_and_reschedule)
 
-        self.after(seconds, again)
+        self.after(seconds, run_and_reschedule)
 
     def run(self, until: float) -> None:
-        """Runs all that is due up to a time."""
+        """Runs all callbacks that are due up to a time."""
         while self._queue and self._queue[0][0] <= until:
             self.now, _, callback, args = heapq.heappop(self._queue)
             callback(*args)
--- a/bench/watching.py
+++ b/bench/watching.py
@@ -73,7 +73,7 @@
         description = endpoints.EndpointDescription(
             name, f"{1:016x}", "kind", 8, 0.005, 0.0002, 16, 64
         )
-        report = exchange.report_of(name, 1, 9)
+        report = exchange.make_load_report(name, 1, 9)
 
         async def describe() -> object:
             return expression.Ok(description)
@@ -124,7 +124,7 @@
     driver = router_driver.create_router_driver(exchange.IdleRouter(), CLOCK)
     factory = InstantEngines()
     known = directory.Directory(
-        FixedList([exchange.vm_of(f"engine-{n}") for n in range(count)]),
+        FixedList([exchange.make_vm(f"engine-{n}") for n in range(count)]),
         factory,
         driver,
         step_timeouts.create_step_timeouts(),
