--- a/bench/answer_parsers.py
+++ b/bench/answer_parsers.py
@@ -1,12 +1,12 @@
-"""Processor time of reading an event stream, by client.
+"""Measures the processor time of reading an event stream, by HTTP client.
 
     python -m bench.answer_parsers
 
-A sender in a process of its own writes events of 120 bytes in chunks, one at
-a time, as engines do. Three clients read them: ``adapters/http_channels``
+A separate process sends events of 120 bytes, each in an HTTP chunk of its own,
+as engines do. Three clients read them: ``adapters/http_channels``
 (``httptools`` over asyncio's transport), ``h11`` over the same transport, and
-tornado's HTTP/1 connection over its stream. Only the reader's processor time
-counts.
+Tornado's HTTP/1 connection over its stream. Only the reader's processor time
+is measured.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from almondshift.adapters import http_channels
 
 EVENTS = 20_000
-BURSTS = 3
+REPETITIONS = 3
 CLIENTS = 3
 EVENT = b"id: 123\ndata: " + b"x" * 104 + b"\n\n"
 CHUNK = b"%x\r\n%s\r\n" % (len(EVENT), EVENT)
@@ -35,21 +35,21 @@
 
 
 def send(listener: socket.socket) -> None:
-    """Writes streams to whoever connects, an event at a time."""
-    for _ in range(CLIENTS * BURSTS):
+    """Sends a stream to each client that connects, one event at a time."""
+    for _ in range(CLIENTS * REPETITIONS):
         connection, _ = listener.accept()
         connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         connection.recv(65_536)
         connection.sendall(HEAD)
         for _ in range(EVENTS):
             connection.sendall(CHUNK)
-            # Wait for the reader's word, so that each event is a read.
+            # Wait for the reader, so that it reads each event separately.
             connection.recv(1)
         connection.sendall(b"0\r\n\r\n")
         connection.close()
 
 
-class Counter(http_channels.CallListener):
+class EventRequester(http_channels.CallListener):
     """Asks for the next event after each."""
 
     def __init__(self) -> None:
@@ -57,7 +57,7 @@
         self.done = asyncio.get_running_loop().create_future()
 
     def on_head(self, head: http_channels.AnswerHead) -> None:
-        """Takes the head."""
+        """Ignores the head."""
 
     def on_data(self, data: bytes) -> None:
         """Asks for the next event."""
@@ -72,13 +72,13 @@
 
 
 async def read_channels(port: int) -> None:
-    """Reads a stream by our client."""
+    """Reads a stream with ``http_channels``."""
     pool = http_channels.create_channel_pool()
-    counter = Counter()
+    requester = EventRequester()
     payload = http_channels.request_bytes("POST", "/", [("Host", "h")], b"")
     address = f"127.0.0.1:{port}"
-    counter.call = pool.call(address, payload, counter, "r1")
-    outcome = await counter.done
+    requester.call = pool.call(address, payload, requester, "r1")
+    outcome = await requester.done
     assert outcome is http_channels.Outcome.WHOLE
 
 
@@ -101,7 +101,7 @@
         transport.write(head + end)
 
     def data_received(self, data: bytes) -> None:
-        """Parses what came."""
+        """Parses received data."""
         assert self.transport is not None
         self.connection.receive_data(data)
         while True:
@@ -122,7 +122,7 @@
     await protocol.done
 
 
-class Delegate(httputil.HTTPMessageDelegate):
+class TornadoRequester(httputil.HTTPMessageDelegate):
     """Asks for the next event after each."""
 
     def __init__(self, stream: iostream.IOStream) -> None:
@@ -134,7 +134,7 @@
 
 
 async def read_tornado(port: int) -> None:
-    """Reads a stream by tornado's connection."""
+    """Reads a stream with Tornado's HTTP/1 connection."""
     stream = iostream.IOStream(socket.socket())
     await stream.connect(("127.0.0.1", port))
     params = http1connection.HTTP1ConnectionParameters(
@@ -145,11 +145,11 @@
     headers = httputil.HTTPHeaders({"Host": "h", "Content-Length": "0"})
     await connection.write_headers(line, headers)
     connection.finish()
-    await connection.read_response(Delegate(stream))
+    await connection.read_response(TornadoRequester(stream))
 
 
 def main() -> None:
-    """Prints microseconds of processor time an event."""
+    """Prints processor time per event in microseconds."""
     listener = socket.create_server(("127.0.0.1", 0))
     port = listener.getsockname()[1]
     sender = multiprocessing.Process(target=send, args=(listener,))
@@ -161,7 +161,7 @@
             ("tornado's connection", read_tornado),
         ):
             costs = []
-            for _ in range(BURSTS):
+            for _ in range(REPETITIONS):
                 started = time.process_time()
                 asyncio.run(read(port))
                 costs.append((time.process_time() - started) / EVENTS * 1e6)
--- a/bench/compare/__main__.py
+++ b/bench/compare/__main__.py
@@ -1,4 +1,4 @@
-"""Compares variants: ``python -m bench.compare FILE``."""
+"""Compares variants of the code: ``python -m bench.compare FILE``."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 class Comparison:
-    """Plays what a plan asks for and is not finished yet.
+    """Runs the plays of a plan that are not finished yet.
 
     Attributes:
-        waiting: Plays that no job has taken.
+        waiting: Plays that no job has started.
         unfinished: Plays that failed, with the reason.
     """
 
@@ -33,35 +33,35 @@
             name: worktrees.revision(variant.revision)
             for name, variant in plan.variants.items()
         }
-        self.all = list(plan.all_plays(self.revisions))
-        self.waiting = [p for p in self.all if p not in finished.found]
+        self.plays = list(plan.all_plays(self.revisions))
+        self.waiting = [p for p in self.plays if p not in finished.by_play]
         self.unfinished: list[tuple[measurements.Play, str]] = []
         self.player = day_player.DayPlayer(
             program=plan.plays.program.resolve(),
             charges_processor=plan.plays.charge_processor,
-            kept_journal=pathlib.Path(day_player.JOURNAL).resolve(),
+            collected_journal=pathlib.Path(day_player.JOURNAL).resolve(),
         )
 
     async def run(self) -> None:
-        """Plays in as many jobs as memory allows."""
+        """Runs the waiting plays in as many jobs as memory allows."""
         jobs = range(job_count(self.plan))
-        await asyncio.gather(*(self.work(number) for number in jobs))
+        await asyncio.gather(*(self.run_job(number) for number in jobs))
 
-    async def work(self, number: int) -> None:
-        """Plays one day after another in a worktree of its own."""
+    async def run_job(self, number: int) -> None:
+        """Runs waiting plays one after another in a worktree of its own."""
         worktree = worktrees.prepare(
             self.plan.plays.worktrees / f"job-{number}"
         )
         while self.waiting:
             play = self.waiting.pop(0)
-            await self.measure(worktree, play)
-            left = len(self.waiting)
-            print(f"{left:>5} to go; {play.label}", file=sys.stderr)
+            await self.run_play(worktree, play)
+            waiting_count = len(self.waiting)
+            print(f"{waiting_count:>5} waiting; {play.label}", file=sys.stderr)
 
-    async def measure(
+    async def run_play(
         self, worktree: pathlib.Path, play: measurements.Play
     ) -> None:
-        """Plays a day and keeps what it measured."""
+        """Runs a play and stores its measurement."""
         variant = self.plan.variants[play.variant]
         commit = self.revisions[play.variant]
         worktrees.check_out(worktree, commit, variant.patch)
@@ -75,19 +75,19 @@
         self.finished.add(measured)
 
     def measured(self) -> list[measurements.Measurement]:
-        """Returns the finished plays of this plan."""
-        found = self.finished.found
-        return [found[play] for play in self.all if play in found]
+        """Returns the measurements of this plan's finished plays."""
+        by_play = self.finished.by_play
+        return [by_play[play] for play in self.plays if play in by_play]
 
 
 def job_count(plan: plans.Plan) -> int:
-    """Returns how many plays run at a time."""
+    """Returns the number of plays that run at the same time."""
     largest_gb = max(d.memory_gb for d in plan.deployments.values())
     return max(1, min(plan.plays.jobs, int(plan.plays.memory_gb / largest_gb)))
 
 
 def main() -> int:
-    """Plays, then prints the differences and writes them beside the plays."""
+    """Runs the plays, prints the differences and writes them as CSV."""
     parser = argparse.ArgumentParser(prog="bench.compare")
     parser.add_argument("plan", type=pathlib.Path)
     try:
@@ -103,8 +103,8 @@
     found = differences.paired(measured, plan.baseline)
     report.write_csv(plan.plays.results.with_suffix(".csv"), found)
     print(report.table(found))
-    print(f"\nfinished {len(measured)} of {len(comparison.all)} plays")
-    for line in report.broken(measured):
+    print(f"\nfinished {len(measured)} of {len(comparison.plays)} plays")
+    for line in report.format_problems(measured):
         print(f"rule broken: {line}")
     for play, reason in comparison.unfinished:
         print(f"not finished: {play.label}: {reason}")
--- a/bench/compare/differences.py
+++ b/bench/compare/differences.py
@@ -20,14 +20,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Difference:
-    """A figure of a variant, less that of the baseline on the same plays.
+    """Difference of a figure between a variant and the baseline.
 
     Attributes:
-        pairs: Plays that both variants finished.
-        baseline: The baseline's mean.
-        mean: Mean difference.
+        pairs: Number of plays that both variants finished.
+        baseline: Mean of the baseline.
+        mean: Mean of the paired differences, variant minus baseline.
         low: Lower end of the 95% interval; equal to ``mean`` for one pair.
-        high: Upper end.
+        high: Upper end of the interval; equal to ``mean`` for one pair.
     """
 
     deployment: str
@@ -48,18 +48,20 @@
 def paired(
     measured: Iterable[measurements.Measurement], baseline: str
 ) -> list[Difference]:
-    """Returns the differences of all variants to a baseline.
+    """Returns the differences between all variants and a baseline.
 
     Args:
         measured: Finished plays; those without a counterpart are left out.
-        baseline: Name of the variant that others are compared to.
+        baseline: Name of the variant that the others are compared with.
     """
     plays = list(measured)
-    standing = {m.play.pair: m for m in plays if m.play.variant == baseline}
+    baseline_plays = {
+        m.play.pair: m for m in plays if m.play.variant == baseline
+    }
     samples: dict[tuple[str, str, str], list[tuple[float, float]]]
     samples = collections.defaultdict(list)
     for other in plays:
-        counterpart = standing.get(other.play.pair)
+        counterpart = baseline_plays.get(other.play.pair)
         if other.play.variant == baseline or counterpart is None:
             continue
         for name, before, after in _shared_figures(counterpart, other):
@@ -87,9 +89,12 @@
     mean = sum(changes) / len(changes)
     low = high = mean
     if len(changes) > 1:
-        error = float(stats.sem(changes))
-        reach = float(stats.t.ppf((1 + CONFIDENCE) / 2, len(changes) - 1))
-        low, high = mean - reach * error, mean + reach * error
+        standard_error = float(stats.sem(changes))
+        t_quantile = float(stats.t.ppf((1 + CONFIDENCE) / 2, len(changes) - 1))
+        low, high = (
+            mean - t_quantile * standard_error,
+            mean + t_quantile * standard_error,
+        )
     return Difference(
         deployment=deployment,
         variant=variant,
--- a/bench/compare/measurements.py
+++ b/bench/compare/measurements.py
@@ -1,4 +1,4 @@
-"""What is played, and what it measured."""
+"""Plays of a comparison and their measurements."""
 
 from __future__ import annotations
 
@@ -7,14 +7,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
 class Play:
-    """One day of a deployment, played by one variant of the code.
+    """A run of one day of a deployment with one variant of the code.
 
     Attributes:
         deployment: The plan's name for the site.
         site: Path of the site file.
-        is_small_twin: Whether a small copy of a large day is played.
+        is_small_twin: Whether the small copy of a large day is run.
         variant: The plan's name for the variant.
-        source: Revision and digest of the patch that make the variant.
+        source: The variant's commit, with the digest of its patch if it has
+            one.
     """
 
     deployment: str
@@ -27,12 +28,12 @@
 
     @property
     def pair(self) -> tuple[str, str, int]:
-        """What plays of different variants have in common."""
+        """Key that the plays of different variants share."""
         return (self.deployment, self.day, self.seed)
 
     @property
     def label(self) -> str:
-        """A text that no other play of a comparison has."""
+        """Description that is unique among the plays of a comparison."""
         return (
             f"{self.deployment} {self.day} seed {self.seed}, "
             f"{self.variant} ({self.source})"
@@ -45,9 +46,9 @@
 
     Attributes:
         figures: Shares between 0 and 1, and prices as negative shares, so
-            that more is better except for refused and failed requests.
-        broken_rules: Empty if all rules held.
-        fault: Why the day counts for nothing; empty if it counts.
+            that higher is better except for refused and failed requests.
+        broken_rules: Names of violated rules; empty if there are none.
+        fault: Why the day is not counted; empty if it is counted.
     """
 
     play: Play
--- a/bench/compare/plan.py
+++ b/bench/compare/plan.py
@@ -14,12 +14,12 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-VARIANT = "variant "
-DEPLOYMENT = "deployment "
+VARIANT_PREFIX = "variant "
+DEPLOYMENT_PREFIX = "deployment "
 
 
 class PlanInvalid(Exception):
-    """The plan can't be used; the message names the section and the key."""
+    """The plan is invalid; the message names the section and the key."""
 
 
 class _Section(pydantic.BaseModel):
@@ -27,15 +27,16 @@
 
 
 class PlaysSection(_Section):
-    """``[plays]``: how days are played.
+    """``[plays]``: how days are run.
 
     Attributes:
-        program: The bench.
+        program: The program that runs a day.
         worktrees: Folder for one worktree per job.
-        results: File that finished plays are appended to.
-        jobs: Most plays at a time.
-        memory_gb: Most memory of all plays together.
-        charge_processor: Whether processor time is priced.
+        results: File to which finished plays are appended.
+        why: Purpose of the comparison, which each journal entry states.
+        jobs: Maximum number of concurrent plays.
+        memory_gb: Maximum memory of all concurrent plays together.
+        charge_processor: Whether processor time is charged to the result.
     """
 
     program: pathlib.Path
@@ -48,7 +49,7 @@
 
 
 class VariantSection(_Section):
-    """``[variant NAME]``: a revision, and a patch over it if one is named."""
+    """``[variant NAME]``: a revision, with an optional patch on top."""
 
     revision: str = "HEAD"
     patch: pathlib.Path | None = None
@@ -69,12 +70,12 @@
 
     @pydantic.field_validator("days", "seeds", mode="before")
     @classmethod
-    def _words(cls, value: object) -> object:
+    def _split_words(cls, value: object) -> object:
         return value.split() if isinstance(value, str) else value
 
 
 class Plan(_Section):
-    """All sections; other variants are compared to the first one."""
+    """All sections; the first variant is the baseline of the others."""
 
     plays: PlaysSection
     variants: dict[str, VariantSection] = pydantic.Field(min_length=1)
@@ -88,7 +89,7 @@
     def all_plays(
         self, revisions: dict[str, str]
     ) -> Iterator[measurements.Play]:
-        """Yields all plays, pairs next to each other.
+        """Yields all plays, those of a pair next to each other.
 
         Args:
             revisions: Commit of each variant.
@@ -112,7 +113,7 @@
     """Reads a plan.
 
     Raises:
-        PlanInvalid: The file can't be read, or a section or key is wrong.
+        PlanInvalid: The file can't be read, or a section or key is invalid.
     """
     parser = configparser.ConfigParser(interpolation=None)
     try:
@@ -129,10 +130,10 @@
     deployments: dict[str, object] = {}
     for title in parser.sections():
         values = dict(parser[title])
-        if title.startswith(VARIANT):
-            variants[title.removeprefix(VARIANT)] = values
-        elif title.startswith(DEPLOYMENT):
-            deployments[title.removeprefix(DEPLOYMENT)] = values
+        if title.startswith(VARIANT_PREFIX):
+            variants[title.removeprefix(VARIANT_PREFIX)] = values
+        elif title.startswith(DEPLOYMENT_PREFIX):
+            deployments[title.removeprefix(DEPLOYMENT_PREFIX)] = values
         else:
             nested[title] = values
     return {**nested, "variants": variants, "deployments": deployments}
--- a/bench/compare/report.py
+++ b/bench/compare/report.py
@@ -1,4 +1,4 @@
-"""Shows differences as a table and as CSV."""
+"""Formats differences as a table and as CSV."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
     from bench.compare import measurements
 
 ALWAYS_SHOWN = ("worth", "served", "refused", "failed")
-LEAST_SHOWN = 0.002
-"""Other figures are left out of the table if they change by less."""
+MIN_SHOWN_CHANGE = 0.002
+"""Figures not in ``ALWAYS_SHOWN`` are omitted if they change by less."""
 
 
 def table(found: Iterable[differences.Difference]) -> str:
-    """Returns a table for the terminal; a star marks a clear difference."""
+    """Returns a text table; an asterisk marks clear differences."""
     lines = [
         f"{'deployment':<16} {'variant':<20} {'figure':<44} "
         f"{'pairs':>5} {'before':>8} {'change':>8}  95% interval"
     ]
     for row in found:
-        is_small = abs(row.mean) < LEAST_SHOWN
+        is_small = abs(row.mean) < MIN_SHOWN_CHANGE
         if row.figure not in ALWAYS_SHOWN and is_small:
             continue
         lines.append(
@@ -37,8 +37,8 @@
     return "\n".join(lines)
 
 
-def broken(measured: Iterable[measurements.Measurement]) -> list[str]:
-    """Returns a line for each play that broke a rule or does not count."""
+def format_problems(measured: Iterable[measurements.Measurement]) -> list[str]:
+    """Returns a line for each play that broke a rule or isn't counted."""
     return [
         f"{m.play.label}: {', '.join(m.broken_rules) or m.fault}"
         for m in measured
@@ -49,7 +49,7 @@
 def write_csv(
     path: pathlib.Path, found: Iterable[differences.Difference]
 ) -> None:
-    """Writes all differences, with one column per attribute."""
+    """Writes all differences with one column per attribute."""
     names = [field.name for field in dataclasses.fields(differences.Difference)]
     with path.open("w", newline="", encoding="utf-8") as file:
         writer = csv.DictWriter(file, names)
--- a/bench/compare/results.py
+++ b/bench/compare/results.py
@@ -16,30 +16,30 @@
 
 
 class ResultFile:
-    """A file with one finished play a line.
+    """A JSON Lines file with one measurement per finished play.
 
     Attributes:
-        found: Measurements by play.
+        by_play: Measurements by play.
     """
 
     def __init__(self, path: pathlib.Path) -> None:
         self.path = path
-        self.found: dict[measurements.Play, measurements.Measurement] = {}
+        self.by_play: dict[measurements.Play, measurements.Measurement] = {}
 
     def load(self) -> None:
-        """Reads what earlier runs finished; passes over a torn last line."""
+        """Reads the plays of earlier runs; skips a truncated last line."""
         if not self.path.exists():
             return
         for line in self.path.read_text(encoding="utf-8").splitlines():
             try:
-                read = DECODER.decode(line)
+                measurement = DECODER.decode(line)
             except msgspec.DecodeError:
                 continue
-            self.found[read.play] = read
+            self.by_play[measurement.play] = measurement
 
     def add(self, measured: measurements.Measurement) -> None:
-        """Keeps a finished play."""
-        self.found[measured.play] = measured
+        """Stores the measurement of a finished play."""
+        self.by_play[measured.play] = measured
         self.path.parent.mkdir(parents=True, exist_ok=True)
         with self.path.open("ab") as file:
             file.write(msgspec.json.encode(measured) + b"\n")
--- a/bench/compare/worktrees.py
+++ b/bench/compare/worktrees.py
@@ -1,4 +1,4 @@
-"""Git worktrees, one for each play that runs at a time."""
+"""Git worktrees, one for each job."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def revision(name: str) -> str:
-    """Returns the commit that a revision's name stands for.
+    """Returns the commit to which a revision name resolves.
 
     Raises:
         subprocess.CalledProcessError: There is no such revision.
@@ -16,7 +16,7 @@
 
 
 def prepare(path: pathlib.Path) -> pathlib.Path:
-    """Creates a worktree unless it is there; returns its absolute path."""
+    """Creates a worktree if there is none and returns its absolute path."""
     if not (path / ".git").exists():
         _git(pathlib.Path(), "worktree", "add", "--detach", str(path))
     return path.resolve()
@@ -25,9 +25,9 @@
 def check_out(
     worktree: pathlib.Path, commit: str, patch: pathlib.Path | None
 ) -> None:
-    """Puts a variant's sources into a worktree.
+    """Checks out a variant's sources in a worktree.
 
-    Journal entries that are not committed stay.
+    Uncommitted journal entries are kept.
     """
     _git(worktree, "checkout", "--quiet", "--force", "--detach", commit)
     _git(worktree, "clean", "--quiet", "--force", "-d", "--exclude=journal")
@@ -35,8 +35,12 @@
         _git(worktree, "apply", str(patch.resolve()))
 
 
-def _git(folder: pathlib.Path, *words: str) -> str:
-    done = subprocess.run(
-        ["git", *words], cwd=folder, check=True, capture_output=True, text=True
+def _git(folder: pathlib.Path, *arguments: str) -> str:
+    completed = subprocess.run(
+        ["git", *arguments],
+        cwd=folder,
+        check=True,
+        capture_output=True,
+        text=True,
     )
-    return done.stdout.strip()
+    return completed.stdout.strip()
--- a/bench/configuration.py
+++ b/bench/configuration.py
@@ -1,7 +1,7 @@
-"""Measures parsing of the operators' text as accounts grow.
+"""Measures the time to parse a configuration, by number of accounts.
 
-Run as ``python -m bench.configuration``. Prints milliseconds for each
-number of client accounts, the median of several parses.
+Run as ``python -m bench.configuration``. Prints the median time of several
+parses in milliseconds for each number of client accounts.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 def create_text(accounts: int) -> str:
-    """Returns the sample with this many more accounts."""
+    """Returns the sample configuration with additional accounts."""
     sample = importlib.resources.files("almondshift.data") / "sample.ini"
     return sample.read_text() + "\n".join(
         f"[account client-{i}]\nkey_hash = sha256:{i:064x}\nweight = 2\n"
@@ -27,7 +27,7 @@
 
 
 def measure(text: str) -> float:
-    """Returns the median seconds of a parse."""
+    """Returns the median time of a parse in seconds."""
     seconds = []
     for _ in range(REPEATS):
         start = time.perf_counter()
--- a/bench/engine_processes.py
+++ b/bench/engine_processes.py
@@ -1,4 +1,7 @@
-"""Starts engine stand-ins as processes, so that their time is their own."""
+"""Starts engine stand-ins in separate processes.
+
+Their processor time is then not counted as that of the benchmark.
+"""
 
 from __future__ import annotations
 
@@ -45,6 +48,6 @@
     deadline = time.monotonic() + START_TIMEOUT_S
     while not port_file.exists():
         if time.monotonic() > deadline:
-            raise TimeoutError("the engine did not start")
+            raise TimeoutError("engine stand-in did not start in time")
         time.sleep(POLL_S)
     return port_file.read_text()
--- a/bench/objective_counts.py
+++ b/bench/objective_counts.py
@@ -1,7 +1,7 @@
-"""Measures the counts behind the report on burn at their bounds.
+"""Measures the counters behind the error-budget burn report when full.
 
 Run as ``python -m bench.objective_counts``. Prints the memory of full
-buckets, the time of a record and the time of a snapshot.
+buckets and the time of a snapshot and of recording a value.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 
 HOURS = 75
 MINUTES = 60
-FULL_FINE_HOURS = 2
-ACCOUNTS = objectives.MAX_KEYS + 100
+FILLED_FINE_HOURS = 2
+ACCOUNT_COUNT = objectives.MAX_KEYS + 100
 RECORDS = 100_000
 
 
 class ManualClock(clocks.Clock):
-    """A clock that is moved by hand."""
+    """A clock that is advanced manually."""
 
     def __init__(self) -> None:
         self.now = 1e7
@@ -36,18 +36,20 @@
         return self.now
 
     async def sleep(self, seconds: float) -> None:
-        """Moves the clock on."""
+        """Advances the clock."""
         self.now += seconds
 
 
-def fill(clock: ManualClock, counts: objectives.ObjectiveCounts) -> None:
-    """Fills every bucket with more keys than it takes."""
+def fill_buckets(
+    clock: ManualClock, counts: objectives.ObjectiveCounts
+) -> None:
+    """Fills every bucket with more keys than it can hold."""
     for hour in range(HOURS):
         for minute in range(MINUTES):
             clock.now += objectives.FINE_BUCKET_S
-            if minute and hour < HOURS - FULL_FINE_HOURS:
+            if minute and hour < HOURS - FILLED_FINE_HOURS:
                 continue
-            for i in range(ACCOUNTS):
+            for i in range(ACCOUNT_COUNT):
                 counts.record_whole("advice", f"account-{i}", "overloaded")
 
 
@@ -58,7 +60,7 @@
     counts = objectives.create_objective_counts(clock)
     counts.use(fleet_text.parse(sample.read_text(), 1).ok)
     tracemalloc.start()
-    fill(clock, counts)
+    fill_buckets(clock, counts)
     megabytes = tracemalloc.get_traced_memory()[0] / 1e6
     tracemalloc.stop()
     print(f"memory of full buckets: {megabytes:.1f} MB")
@@ -68,8 +70,8 @@
     start = time.perf_counter()
     for _ in range(RECORDS):
         counts.record_between_tokens("advice", "members-app", 0.01)
-    each = (time.perf_counter() - start) / RECORDS
-    print(f"record: {each * 1e6:.2f} us")
+    per_record_s = (time.perf_counter() - start) / RECORDS
+    print(f"record: {per_record_s * 1e6:.2f} us")
 
 
 if __name__ == "__main__":
--- a/bench/pipeline_calls.py
+++ b/bench/pipeline_calls.py
@@ -1,7 +1,8 @@
-"""What a step costs a node: coalesced, alone, replayed and moved.
+"""Measures the cost of steps, of KV cache moves and of message encodings.
 
-Run with ``python -m bench.pipeline_calls``. The engines are processes of
-their own and run in no time, so that the figures are those of the calls.
+Run with ``python -m bench.pipeline_calls``. Steps are sent with and without
+coalescing to an engine in a separate process whose steps take no time, so
+that the figures are the cost of the calls.
 """
 
 from __future__ import annotations
@@ -37,19 +38,19 @@
 SESSIONS = 64
 STEPS_PER_SESSION = 60
 ROUNDS = 3
-WARM_STEPS = 5
+WARM_UP_STEPS = 5
 TIMEOUT_S = 30.0
-US = 1e6
-MS = 1e3
+US_PER_S = 1e6
+MS_PER_S = 1e3
 
 INSTANT = ("--model", "m=8", "--fixed-ms", "0", "--per-layer-token-us", "0")
-MEMORY = ("--max-batch", "256", "--max-sessions", "256")
+LARGE_LIMITS = ("--max-batch", "256", "--max-sessions", "256")
 SLOW_LINK = ("--link-latency-ms", "2", "--link-bytes-per-s", "100e6")
-REAL_TIME = ("--fixed-ms", "5", "--per-layer-token-us", "50")
+REALISTIC_TIMES = ("--fixed-ms", "5", "--per-layer-token-us", "50")
 
 
-class LoopClock(clocks.Clock):
-    """The clocks of this machine."""
+class SystemClock(clocks.Clock):
+    """The clock of this machine."""
 
     def monotonic(self) -> float:
         """Returns monotonic seconds."""
@@ -66,7 +67,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallMode:
-    """A way to send steps."""
+    """Settings with which steps are sent."""
 
     name: str
     items: int
@@ -98,7 +99,7 @@
 def make_item(
     session: str, position: int, inputs: tuple[int, ...]
 ) -> steps.StepItem:
-    """Makes an item of a request named like its session."""
+    """Returns a step item whose request has the same id as its session."""
     return steps.StepItem(
         session, session, 1, position, LAYERS, "m", 1, "", 1, inputs
     )
@@ -121,7 +122,7 @@
 async def measure_mode(
     engine: engines.Engine, mode: CallMode
 ) -> dict[str, Any]:
-    """Measures one way to send steps; the median of ``ROUNDS`` rounds."""
+    """Measures one call mode; returns medians of ``ROUNDS`` rounds."""
     rounds = [
         await measure_round(engine, mode, f"{mode.name}-{number}")
         for number in range(ROUNDS)
@@ -133,9 +134,9 @@
     return {
         "mode": mode.name,
         "items_per_call": round(median(r.items_per_call for r in rounds), 1),
-        "call_ms_p50": round(median(r.call_s for r in rounds) * MS, 2),
+        "call_ms_p50": round(median(r.call_s for r in rounds) * MS_PER_S, 2),
         "client_cpu_us_per_step": round(
-            median(r.cpu_s_per_step for r in rounds) * US, 1
+            median(r.cpu_s_per_step for r in rounds) * US_PER_S, 1
         ),
         "steps_per_s": round(median(r.steps_per_s for r in rounds)),
     }
@@ -144,23 +145,23 @@
 async def measure_round(
     engine: engines.Engine, mode: CallMode, prefix: str
 ) -> Round:
-    """Sends steps of ``SESSIONS`` requests at once."""
+    """Measures steps of ``SESSIONS`` concurrent sessions."""
     timings: list[coalescer.CallTiming] = []
     limits = step_queue.CallLimits(mode.items, SESSIONS)
     settings = coalescer.CoalescerSettings(
         mode.max_calls, limits, mode.coalesce
     )
-    steps_of = coalescer.create_coalescer(
-        engine, LoopClock(), settings, timings.append, lambda: TIMEOUT_S
+    step_coalescer = coalescer.create_coalescer(
+        engine, SystemClock(), settings, timings.append, lambda: TIMEOUT_S
     )
-    await steps_of.start()
-    await run_sessions(steps_of, prefix, 0, WARM_STEPS)
+    await step_coalescer.start()
+    await run_sessions(step_coalescer, prefix, 0, WARM_UP_STEPS)
     timings.clear()
-    begun_at, cpu_at = time.monotonic(), time.process_time()
-    await run_sessions(steps_of, prefix, WARM_STEPS, STEPS_PER_SESSION)
-    seconds = time.monotonic() - begun_at
+    started_at, cpu_at = time.monotonic(), time.process_time()
+    await run_sessions(step_coalescer, prefix, WARM_UP_STEPS, STEPS_PER_SESSION)
+    seconds = time.monotonic() - started_at
     cpu_s = time.process_time() - cpu_at
-    await steps_of.close()
+    await step_coalescer.close()
     await engine.cancel([f"{prefix}{n}" for n in range(SESSIONS)])
     count = SESSIONS * STEPS_PER_SESSION
     return Round(
@@ -172,22 +173,22 @@
 
 
 async def run_sessions(
-    steps_of: coalescer.Coalescer, prefix: str, position: int, count: int
+    step_coalescer: coalescer.Coalescer, prefix: str, position: int, count: int
 ) -> None:
-    """Runs ``count`` steps of each session, one after another."""
+    """Runs ``count`` consecutive steps of each session."""
 
     async def run(session: str) -> None:
         for at in range(position, position + count):
             item = make_item(session, at, (at,))
-            outcome = await steps_of.submit(item)
+            outcome = await step_coalescer.submit(item)
             if outcome.is_error() or not outcome.ok.outputs:
-                raise RuntimeError(f"a step failed: {outcome}")
+                raise RuntimeError(f"step failed: {outcome}")
 
     await asyncio.gather(*(run(f"{prefix}{n}") for n in range(SESSIONS)))
 
 
 async def measure_calls(address: str) -> list[dict[str, Any]]:
-    """Measures all ways to send steps."""
+    """Measures all call modes."""
     factory, engine = await connect(address)
     rows = [await measure_mode(engine, mode) for mode in MODES]
     await engine.close()
@@ -196,34 +197,34 @@
 
 
 async def measure_move(address: str, length: int) -> dict[str, Any]:
-    """Compares moving a session's KV cache with replaying its inputs."""
+    """Compares the move of a session's KV cache with replaying its inputs."""
     factory, engine = await connect(address)
     inputs = tuple(range(length * 1000, length * 1001))
-    begun_at = time.monotonic()
+    started_at = time.monotonic()
     await engine.step([make_item(f"s{length}", 0, inputs)], TIMEOUT_S)
-    replayed_s = time.monotonic() - begun_at
-    begun_at = time.monotonic()
+    replayed_s = time.monotonic() - started_at
+    started_at = time.monotonic()
     snapshot = (await engine.export_kv(f"s{length}")).ok
     moved = dataclasses.replace(snapshot, session=f"t{length}")
     imported = await engine.import_kv(moved)
-    moved_s = time.monotonic() - begun_at
+    moved_s = time.monotonic() - started_at
     if imported.is_error():
         raise RuntimeError(str(imported.error))
     await engine.close()
     await factory.close()
     return {
         "positions": length,
-        "replay_ms": round(replayed_s * MS, 1),
-        "export_import_ms": round(moved_s * MS, 1),
+        "replay_ms": round(replayed_s * MS_PER_S, 1),
+        "export_import_ms": round(moved_s * MS_PER_S, 1),
     }
 
 
 def measure_encodings() -> list[dict[str, Any]]:
-    """Compares forms of a message with 64 items of one token."""
+    """Compares encodings of a message with 64 items of one token."""
     items = [make_item(f"request-{n}/1/0", n, (2**63 + n,)) for n in range(64)]
     maps = [dataclasses.asdict(item) for item in items]
     rows = msgspec.msgpack.decode(engine_messages.encode_items(items))
-    forms: list[tuple[str, Callable[[], bytes], Callable[[bytes], Any]]] = [
+    encodings: list[tuple[str, Callable[[], bytes], Callable[[bytes], Any]]] = [
         (
             "MessagePack arrays, as used",
             lambda: engine_messages.encode_items(items),
@@ -252,7 +253,7 @@
     ]
     return [
         measure_encoding(name, encode, decode, len(items))
-        for name, encode, decode in forms
+        for name, encode, decode in encodings
     ]
 
 
@@ -262,7 +263,7 @@
     decode: Callable[[bytes], Any],
     items: int,
 ) -> dict[str, Any]:
-    """Measures one form of a message."""
+    """Measures one encoding of a message."""
     rounds = 300
     body = encode()
     encode_at = time.process_time()
@@ -272,7 +273,7 @@
     for _ in range(rounds):
         decode(body)
     ended_at = time.process_time()
-    per_item = US / rounds / items
+    per_item = US_PER_S / rounds / items
     return {
         "form": name,
         "bytes_per_item": round(len(body) / items),
@@ -283,9 +284,9 @@
 
 def run() -> dict[str, Any]:
     """Measures everything and returns the figures."""
-    with engine_processes.run_engine(*INSTANT, *MEMORY) as address:
+    with engine_processes.run_engine(*INSTANT, *LARGE_LIMITS) as address:
         calls = asyncio.run(measure_calls(address))
-    options = (*INSTANT, *MEMORY, *REAL_TIME, *SLOW_LINK)
+    options = (*INSTANT, *LARGE_LIMITS, *REALISTIC_TIMES, *SLOW_LINK)
     with engine_processes.run_engine(*options) as address:
         moves = [
             asyncio.run(measure_move(address, length))
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -1,9 +1,9 @@
-"""Measures a plan of placement as the number of engines grows.
+"""Measures the cost of placement plans, by number of engines.
 
-Run as ``python -m bench.placement``; takes a few seconds. Prints
-milliseconds of processor time of the first plan, with all engines free, and
-of a plan that changes nothing, as a lease holder makes it several times a
-second.
+Run as ``python -m bench.placement``; takes a few seconds. Prints the
+processor time in milliseconds of the first plan, when all engines are idle,
+and of a plan that changes nothing, which a lease holder computes several
+times per second.
 """
 
 from __future__ import annotations
@@ -15,19 +15,19 @@
 from almondshift.model import fleet as fleets
 from almondshift.policy import placement
 
-ENGINES = (30, 270, 820)
+ENGINE_COUNTS = (30, 270, 820)
 MODELS = 3
 LAYERS = 32
 CAPACITIES = (16, 8, 8, 4)
-"""Layers by kind of accelerator."""
+"""Layer capacity by kind of accelerator."""
 
 MAX_SETTLING_PLANS = 400
 REPEATS = 3
-MS = 1e3
+MS_PER_S = 1e3
 
 
 def make_fleet() -> fleets.Fleet:
-    """Returns a configuration with three models and a service on each."""
+    """Returns a configuration with three models and one service for each."""
     names = [f"m{i}" for i in range(MODELS)]
     kind = fleets.ServiceKind.MODEL
     return fleets.Fleet(
@@ -59,31 +59,31 @@
     return placement.PlacedEngine(description, report)
 
 
-def obey(
+def apply_orders(
     engines: list[placement.PlacedEngine], plan: placement.Plan
 ) -> list[placement.PlacedEngine]:
-    """Returns the engines after they did what was ordered."""
-    ordered = {planned.endpoint: planned.order for planned in plan.orders}
-    obeyed = []
+    """Returns the engines after they have carried out a plan's orders."""
+    orders = {planned.endpoint: planned.order for planned in plan.orders}
+    updated = []
     for engine in engines:
-        order = ordered.get(engine.name)
+        order = orders.get(engine.name)
         if order is None:
-            obeyed.append(engine)
+            updated.append(engine)
             continue
-        held = endpoints.Holding(
+        holding = endpoints.Holding(
             order.model, order.version, order.adapter, order.layers, True
         )
         report = endpoints.LoadReport(
-            engine.name, "i", order.role, False, (held,), 0, 0, 1, 0.1
+            engine.name, "i", order.role, False, (holding,), 0, 0, 1, 0.1
         )
-        obeyed.append(placement.PlacedEngine(engine.description, report))
-    return obeyed
+        updated.append(placement.PlacedEngine(engine.description, report))
+    return updated
 
 
-def timed(
+def timed_plan(
     fleet: fleets.Fleet, engines: list[placement.PlacedEngine]
 ) -> tuple[float, placement.Plan]:
-    """Returns processor seconds of a plan, and the plan."""
+    """Returns the processor time of a plan in seconds, and the plan."""
     started = time.process_time()
     plan = placement.plan(fleet, engines)
     return time.process_time() - started, plan
@@ -93,24 +93,24 @@
     """Prints the figures for a number of engines."""
     fleet = make_fleet()
     engines = [make_engine(number) for number in range(count)]
-    first_s, plan = timed(fleet, engines)
+    first_s, plan = timed_plan(fleet, engines)
     plans = 1
     while plan.orders and plans < MAX_SETTLING_PLANS:
-        engines = obey(engines, plan)
+        engines = apply_orders(engines, plan)
         plan = placement.plan(fleet, engines)
         plans += 1
-    steady = [timed(fleet, engines)[0] for _ in range(REPEATS)]
+    steady = [timed_plan(fleet, engines)[0] for _ in range(REPEATS)]
     print(
-        f"{count} engines: first plan {first_s * MS:.1f} ms, "
+        f"{count} engines: first plan {first_s * MS_PER_S:.1f} ms, "
         f"{plans} plans until {len(plan.orders)} orders are left, "
-        f"then {statistics.median(steady) * MS:.1f} ms a plan",
+        f"then {statistics.median(steady) * MS_PER_S:.1f} ms a plan",
         flush=True,
     )
 
 
 def main() -> None:
     """Prints the figures."""
-    for count in ENGINES:
+    for count in ENGINE_COUNTS:
         measure(count)
 
 
--- a/bench/platform/day_player.py
+++ b/bench/platform/day_player.py
@@ -1,4 +1,4 @@
-"""Plays one day of a deployment with the users' bench and reads its entry."""
+"""Runs a day with the users' bench program and reads its journal entry."""
 
 from __future__ import annotations
 
@@ -20,31 +20,32 @@
 
 
 class DayNotPlayed(Exception):
-    """The bench left no readable result of a day."""
+    """The bench program wrote no readable result of a day."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DayPlayer:
-    """Runs the bench in a worktree.
+    """Runs the bench program in a worktree.
 
     Attributes:
-        program: The bench.
-        charges_processor: Whether processor time is priced; runs without it
-            mostly repeat.
-        kept_journal: Folder that collects the entries of all worktrees.
+        program: Path of the bench program.
+        charges_processor: Whether processor time is charged to the result;
+            runs without it are mostly reproducible.
+        collected_journal: Folder that collects the journal entries of all
+            worktrees.
     """
 
     program: pathlib.Path
     charges_processor: bool
-    kept_journal: pathlib.Path
+    collected_journal: pathlib.Path
 
     async def play(
         self, worktree: pathlib.Path, play: measurements.Play, why: str
     ) -> measurements.Measurement:
-        """Plays a day in a worktree that has the variant checked out.
+        """Runs a day in a worktree that has the variant checked out.
 
         Raises:
-            DayNotPlayed: The bench failed or was ended.
+            DayNotPlayed: The bench program failed or was terminated.
         """
         journal = worktree / JOURNAL
         reason = f"{why}: {play.label}"
@@ -56,12 +57,14 @@
             stderr=asyncio.subprocess.STDOUT,
         )
         output, _ = await process.communicate()
-        fresh = [p for p in journal.glob("*.json") if p.name not in before]
-        self._keep(journal, fresh)
-        entry = find_entry(fresh, reason)
+        new_paths = [p for p in journal.glob("*.json") if p.name not in before]
+        self._collect_entries(journal, new_paths)
+        entry = find_entry(new_paths, reason)
         if entry is None:
-            detail = output.decode(errors="replace").strip().splitlines()
-            raise DayNotPlayed(detail[-1] if detail else "no output")
+            output_lines = output.decode(errors="replace").strip().splitlines()
+            raise DayNotPlayed(
+                output_lines[-1] if output_lines else "no output"
+            )
         return read_entry(entry, play)
 
     def _command(self, play: measurements.Play, reason: str) -> list[str]:
@@ -74,23 +77,25 @@
             command.append("--no-cpu")
         return command
 
-    def _keep(self, journal: pathlib.Path, fresh: list[pathlib.Path]) -> None:
-        (self.kept_journal / BLOBS).mkdir(parents=True, exist_ok=True)
-        for path in fresh:
-            shutil.copy2(path, self.kept_journal / path.name)
+    def _collect_entries(
+        self, journal: pathlib.Path, new_paths: list[pathlib.Path]
+    ) -> None:
+        (self.collected_journal / BLOBS).mkdir(parents=True, exist_ok=True)
+        for path in new_paths:
+            shutil.copy2(path, self.collected_journal / path.name)
         for blob in (journal / BLOBS).glob("*"):
-            kept = self.kept_journal / BLOBS / blob.name
-            if not kept.exists():
-                shutil.copy2(blob, kept)
+            target = self.collected_journal / BLOBS / blob.name
+            if not target.exists():
+                shutil.copy2(blob, target)
 
 
 def find_entry(
     paths: Iterable[pathlib.Path], reason: str
 ) -> dict[str, Any] | None:
-    """Returns the ended entry with a reason.
+    """Returns the entry with this reason that contains days.
 
-    The bench copies entries between worktrees of one repository, so that
-    those of other jobs appear here too.
+    The bench program copies entries between the worktrees of a repository, so
+    entries of other jobs are among the paths too.
     """
     for path in paths:
         try:
@@ -105,14 +110,14 @@
 def read_entry(
     entry: dict[str, Any], play: measurements.Play
 ) -> measurements.Measurement:
-    """Returns what a journal entry says of the one day in it.
+    """Returns the measurement of the one day in a journal entry.
 
     Raises:
-        DayNotPlayed: The day did not end, or a field is missing.
+        DayNotPlayed: The day is incomplete, or a field is missing or invalid.
     """
     days = entry.get("days") or []
     if not days or "G" not in days[0]:
-        raise DayNotPlayed(str(entry.get("error") or "the day did not end"))
+        raise DayNotPlayed(str(entry.get("error") or "the day is incomplete"))
     day = days[0]
     try:
         return measurements.Measurement(
--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -1,4 +1,4 @@
-"""Time without a token when a stage is killed, as the caller sees it."""
+"""Measures how long callers get no token when an engine is lost."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 PROMPT = list(range(32, 96))
 TOKENS = 120
-KILL_AFTER = 60
+FAULT_AFTER_TOKENS = 60
 STREAMS = 8
 ROUNDS = 8
 
@@ -29,11 +29,11 @@
 
 
 async def measure(*, keep_inputs: bool, freeze: bool) -> dict[str, Any]:
-    """Kills an engine under running streams, several times.
+    """Kills or freezes an engine under running streams, several times.
 
     Returns:
         Percentiles of the longest gap between tokens of each stream that
-        met a recovery, in seconds, and how many answers were wrong.
+        went through a recovery, in seconds, and the number of wrong answers.
     """
     gaps: list[float] = []
     wrong = 0
@@ -44,9 +44,11 @@
             try:
                 await system.start(nodes=2, engines=ENGINES)
                 for index in range(ROUNDS):
-                    found, bad = await _round(system, index, freeze)
-                    gaps.extend(found)
-                    wrong += bad
+                    round_gaps, round_wrong = await _round(
+                        system, index, freeze
+                    )
+                    gaps.extend(round_gaps)
+                    wrong += round_wrong
             finally:
                 await system.close()
     gaps.sort()
@@ -69,14 +71,14 @@
     shape = ENGINES[index % len(ENGINES)]
     prompt = [*PROMPT, index + 1]
     expected = systems.expected(prompt, TOKENS)
-    seen = 0
-    struck = False
+    token_count = 0
+    fault_injected = False
 
     def on_token(_: int) -> None:
-        nonlocal seen, struck
-        seen += 1
-        if seen >= KILL_AFTER * STREAMS and not struck:
-            struck = True
+        nonlocal token_count, fault_injected
+        token_count += 1
+        if token_count >= FAULT_AFTER_TOKENS * STREAMS and not fault_injected:
+            fault_injected = True
             engine = system.engines[shape.name]
             (engine.freeze if freeze else engine.kill)()
 
@@ -98,24 +100,26 @@
         for answer in answers
         if answer.details.get("recoveries")
     ]
-    await _restore(system, shape)
+    await _restart_engine(system, shape)
     return gaps, wrong
 
 
-async def _restore(
+async def _restart_engine(
     system: systems.RealSystem, shape: systems.EngineShape
 ) -> None:
     system.engines[shape.name].kill()
     await system.start_engine(shape)
     deadline = time.monotonic() + 20
     while time.monotonic() < deadline:
-        if await _all_hold(system):
+        if await _all_engines_ready(system):
             return
         await asyncio.sleep(0.1)
-    raise TimeoutError(f"{shape.name} was not put to use again")
+    raise TimeoutError(
+        f"not all engines were ready after {shape.name} restarted"
+    )
 
 
-async def _all_hold(system: systems.RealSystem) -> bool:
+async def _all_engines_ready(system: systems.RealSystem) -> bool:
     for node in system.nodes:
         status = await system.status(node)
         rows = status.get("endpoints", [])
@@ -135,14 +139,14 @@
 
 
 def main() -> list[dict[str, Any]]:
-    """Measures replay and full restart; prints and returns rows."""
+    """Measures recovery by replay and by restart; prints and returns rows."""
     rows = []
     print("recovery  fault   streams  p50 s  p99 s  max s  wrong")
     for keep_inputs, freeze in ((True, False), (False, False), (True, True)):
         row = asyncio.run(measure(keep_inputs=keep_inputs, freeze=freeze))
-        way = "replay" if keep_inputs else "restart"
+        recovery = "replay" if keep_inputs else "restart"
         print(
-            f"{way:8}  {row['fault']:6}  {row['recoveries']:7}  "
+            f"{recovery:8}  {row['fault']:6}  {row['recoveries']:7}  "
             f"{row['p50']:5.3f}  {row['p99']:5.3f}  {row['max']:5.3f}  "
             f"{row['wrong']}"
         )
--- a/bench/run.py
+++ b/bench/run.py
@@ -1,4 +1,4 @@
-"""Runs all measurements, prints one table each and writes JSON."""
+"""Runs benchmarks, prints a table for each and writes JSON."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 import pathlib
 import time
 
-MEASUREMENTS = ("throughput", "recovery", "pipeline_calls", "load")
-OUT = pathlib.Path(__file__).resolve().parent / "out"
+BENCHMARKS = ("throughput", "recovery", "pipeline_calls", "load")
+OUTPUT_FOLDER = pathlib.Path(__file__).resolve().parent / "out"
 
 
 def main() -> None:
-    """Runs the named measurements, or all of them."""
+    """Runs the named benchmarks, or all of them."""
     parser = argparse.ArgumentParser(prog="bench.run")
-    parser.add_argument("names", nargs="*", default=MEASUREMENTS)
+    parser.add_argument("names", nargs="*", default=BENCHMARKS)
     names = parser.parse_args().names
     results = {}
     for name in names:
@@ -23,8 +23,8 @@
         started = time.monotonic()
         results[name] = importlib.import_module(f"bench.{name}").main()
         print(f"   took {time.monotonic() - started:.0f} s\n")
-    OUT.mkdir(exist_ok=True)
-    path = OUT / "results.json"
+    OUTPUT_FOLDER.mkdir(exist_ok=True)
+    path = OUTPUT_FOLDER / "results.json"
     path.write_text(json.dumps(results, indent=2, default=str))
     print(f"written to bench/out/{path.name}")
 
--- a/bench/throughput.py
+++ b/bench/throughput.py
@@ -1,4 +1,4 @@
-"""Tokens a second of a whole system against the bound of its hardware."""
+"""Measures a system's throughput against the bound of its hardware."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 NODES = 3
 CONCURRENCY = 160
 
-MIXED = (
+ENGINES = (
     systems.EngineShape("a1", 12, "za", "large", 8.0, 60.0),
     systems.EngineShape("b1", 6, "za", "middle", 8.0, 90.0),
     systems.EngineShape("b2", 6, "zb", "middle", 8.0, 90.0),
@@ -40,13 +40,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ThroughputResult:
-    """What one run gave.
+    """Figures of one run.
 
     Attributes:
-        tokens_per_s: Generated tokens of right answers, prompt not counted.
-        positions_per_s: Prompt and generated positions together.
-        bound: Positions a second that the engines allow by max-flow.
-        node_cpu: Processor seconds of all nodes for each second.
+        tokens_per_s: Generated tokens per second, without prompts.
+        positions_per_s: Prompt and generated positions per second.
+        bound: Positions per second that the engines allow by max-flow.
+        node_cpu: Processor seconds of all nodes per second.
+        wrong: Incomplete answers and those with unexpected tokens.
     """
 
     coalesce: bool
@@ -58,33 +59,35 @@
 
     @property
     def share(self) -> float:
-        """Share of the bound that was reached."""
+        """Positions per second as a share of the bound."""
         return self.positions_per_s / self.bound if self.bound else 0.0
 
 
 async def measure(*, coalesce: bool) -> ThroughputResult:
-    """Runs a saturating load for a bounded time."""
+    """Runs a saturating load for ``MEASURE_S``, after a warm-up."""
     with tempfile.TemporaryDirectory() as name:
         folder = pathlib.Path(name)
         with processes.running(folder) as runner:
             system = systems.RealSystem(runner, folder, coalesce=coalesce)
             try:
-                await system.start(nodes=NODES, engines=MIXED)
-                return await _load(system, coalesce)
+                await system.start(nodes=NODES, engines=ENGINES)
+                return await _run_load(system, coalesce)
             finally:
                 await system.close()
 
 
-async def _load(system: systems.RealSystem, coalesce: bool) -> ThroughputResult:
+async def _run_load(
+    system: systems.RealSystem, coalesce: bool
+) -> ThroughputResult:
     bound = await _bound(system)
     expected = systems.expected(PROMPT, TOKENS)
     caller = await system.caller()
     addresses = [node.address for node in system.nodes.values()]
-    counter = _Counter(expected)
+    counter = _TokenCounter(expected)
     end = time.monotonic() + WARM_UP_S + MEASURE_S
     workers = [
         asyncio.create_task(
-            _work(caller, addresses[i % len(addresses)], counter, end)
+            _send_requests(caller, addresses[i % len(addresses)], counter, end)
         )
         for i in range(CONCURRENCY)
     ]
@@ -94,31 +97,31 @@
     started = time.monotonic()
     await asyncio.sleep(MEASURE_S)
     seconds = time.monotonic() - started
-    tokens, prompts = counter.tokens, counter.prompts
+    tokens, prompt_tokens = counter.tokens, counter.prompt_tokens
     cpu = (_cpu_s(system) - cpu_before) / seconds
     await asyncio.gather(*workers)
     return ThroughputResult(
         coalesce=coalesce,
         tokens_per_s=tokens / seconds,
-        positions_per_s=(tokens + prompts) / seconds,
+        positions_per_s=(tokens + prompt_tokens) / seconds,
         bound=bound,
         node_cpu=cpu,
         wrong=counter.wrong,
     )
 
 
-class _Counter:
+class _TokenCounter:
     def __init__(self, expected: tuple[int, ...]) -> None:
         self.expected = expected
         self.tokens = 0
-        self.prompts = 0
+        self.prompt_tokens = 0
         self.wrong = 0
 
     def reset(self) -> None:
         self.tokens = 0
-        self.prompts = 0
+        self.prompt_tokens = 0
 
-    def take(self, answer: http_caller.CallerAnswer) -> None:
+    def check(self, answer: http_caller.CallerAnswer) -> None:
         if not answer.whole or tuple(answer.tokens) != self.expected:
             self.wrong += 1
 
@@ -126,8 +129,8 @@
         self.tokens += 1
 
 
-async def _work(
-    caller: http_caller.Caller, address: str, counter: _Counter, end: float
+async def _send_requests(
+    caller: http_caller.Caller, address: str, counter: _TokenCounter, end: float
 ) -> None:
     while time.monotonic() < end:
         answer = await caller.complete(
@@ -138,25 +141,25 @@
             on_token=counter.on_token,
             deadline_ms=60_000,
         )
-        counter.take(answer)
+        counter.check(answer)
         if answer.whole:
-            counter.prompts += len(PROMPT)
+            counter.prompt_tokens += len(PROMPT)
 
 
 async def _bound(system: systems.RealSystem) -> float:
     status = await system.status("n1")
-    shapes = {shape.name: shape for shape in MIXED}
-    held = []
+    shapes = {shape.name: shape for shape in ENGINES}
+    placed_engines = []
     for row in status["endpoints"]:
         for holding in row["holdings"]:
             start, end = holding["layers"].split("-")
-            held.append(
+            placed_engines.append(
                 flow.FlowEngine(
                     _description(shapes[row["name"]]),
                     layers.LayerRange(int(start), int(end)),
                 )
             )
-    return flow.bound_tokens_per_s(held, systems.LAYERS)
+    return flow.bound_tokens_per_s(placed_engines, systems.LAYERS)
 
 
 def _description(shape: systems.EngineShape) -> endpoints.EndpointDescription:
--- a/tests/bench/test_compare.py
+++ b/tests/bench/test_compare.py
@@ -1,4 +1,4 @@
-"""Comparisons of variants: plans, resumed plays, paired differences."""
+"""Tests plans, resumed comparisons and paired differences."""
 
 from __future__ import annotations
 
@@ -45,7 +45,9 @@
     return path
 
 
-def measured(variant: str, seed: int, worth: float) -> measurements.Measurement:
+def make_measurement(
+    variant: str, seed: int, worth: float
+) -> measurements.Measurement:
     return measurements.Measurement(
         play=measurements.Play(
             "small", "small.toml", "busy", seed, False, variant, "commit"
@@ -56,8 +58,8 @@
     )
 
 
-def test_no_two_plays_are_taken_for_each_other(tmp_path: pathlib.Path) -> None:
-    """A deployment would be measured by entries of another one."""
+def test_labels_of_plays_are_unique(tmp_path: pathlib.Path) -> None:
+    """With equal labels, a play would read the entry of another deployment."""
     text = PLAN + PLAN[PLAN.index("    [deployment") :].replace("small", "b")
     plan = plans.load(write_plan(tmp_path, text))
     plays = list(plan.all_plays({"standing": "a", "other": "b"}))
@@ -77,7 +79,7 @@
 @pytest.mark.parametrize(
     ("memory_gb", "jobs"), [("3", 3), ("0.5", 1), ("40", 4)]
 )
-def test_memory_bounds_the_plays_at_a_time(
+def test_memory_limits_concurrent_plays(
     tmp_path: pathlib.Path, memory_gb: str, jobs: int
 ) -> None:
     text = PLAN.replace("memory_gb = 3", f"memory_gb = {memory_gb}")
@@ -85,7 +87,7 @@
 
 
 @pytest.mark.parametrize(
-    ("wrong", "named"),
+    ("replaced_text", "key"),
     [
         ("jobs = 4", "jobs"),
         ("days = calm busy", "days"),
@@ -94,23 +96,27 @@
     ],
 )
 def test_invalid_plan_names_the_key(
-    tmp_path: pathlib.Path, wrong: str, named: str
+    tmp_path: pathlib.Path, replaced_text: str, key: str
 ) -> None:
-    text = PLAN.replace(wrong, f"# {named}").replace("revision", "# revision")
-    with pytest.raises(plans.PlanInvalid, match=named):
+    text = PLAN.replace(replaced_text, f"# {key}").replace(
+        "revision", "# revision"
+    )
+    with pytest.raises(plans.PlanInvalid, match=key):
         plans.load(write_plan(tmp_path, text))
 
 
-def test_torn_last_line_is_played_again(tmp_path: pathlib.Path) -> None:
-    """An interrupted comparison must not lose its finished plays."""
+def test_play_of_truncated_last_line_is_run_again(
+    tmp_path: pathlib.Path,
+) -> None:
+    """An interrupted comparison keeps the plays it had finished."""
     path = tmp_path / "plays.jsonl"
-    kept = results.ResultFile(path)
-    kept.add(measured("standing", 11, 0.5))
-    kept.add(measured("standing", 12, 0.6))
+    result_file = results.ResultFile(path)
+    result_file.add(make_measurement("standing", 11, 0.5))
+    result_file.add(make_measurement("standing", 12, 0.6))
     path.write_text(path.read_text()[:-20])
-    again = results.ResultFile(path)
-    again.load()
-    assert [play.seed for play in again.found] == [11]
+    reloaded = results.ResultFile(path)
+    reloaded.load()
+    assert [play.seed for play in reloaded.by_play] == [11]
 
 
 @pytest.mark.parametrize(
@@ -122,8 +128,8 @@
 ) -> None:
     plays = []
     for seed, change in enumerate(changes):
-        plays.append(measured("standing", seed, 0.5))
-        plays.append(measured("other", seed, 0.5 + change))
+        plays.append(make_measurement("standing", seed, 0.5))
+        plays.append(make_measurement("other", seed, 0.5 + change))
     found = differences.paired(plays, "standing")
     row = next(d for d in found if d.deployment == "small")
     assert row.mean == pytest.approx(sum(changes) / len(changes))
@@ -131,11 +137,11 @@
     assert row.is_clear is is_clear
 
 
-def test_plays_without_a_counterpart_are_left_out() -> None:
+def test_unpaired_plays_are_ignored() -> None:
     plays = [
-        measured("standing", 1, 0.5),
-        measured("other", 1, 0.6),
-        measured("other", 2, 0.9),
+        make_measurement("standing", 1, 0.5),
+        make_measurement("other", 1, 0.6),
+        make_measurement("other", 2, 0.9),
     ]
     found = differences.paired(plays, "standing")
     assert {row.pairs for row in found} == {1}
@@ -151,17 +157,17 @@
         {"days": None, "error": "cut off"},
     ],
 )
-def test_day_that_did_not_end_is_no_measurement(
+def test_incomplete_day_gives_no_measurement(
     entry: dict[str, object],
 ) -> None:
-    """A day given up midway must not count as one of worth zero."""
-    play = measured("other", 1, 0.0).play
+    """An aborted day must not count as a day with worth 0."""
+    play = make_measurement("other", 1, 0.0).play
     with pytest.raises(day_player.DayNotPlayed):
         day_player.read_entry(entry, play)
 
 
-def test_entries_of_other_jobs_are_passed_over(tmp_path: pathlib.Path) -> None:
-    """A play would be measured by another variant's entry, or lost."""
+def test_entries_of_other_jobs_are_skipped(tmp_path: pathlib.Path) -> None:
+    """Otherwise a play would take another variant's entry, or be lost."""
     ours: dict[str, object] = {"why": "ours", "days": [{"G": 0.5}]}
     for name, entry in {
         "a": {"why": "theirs", "days": [{"G": 0.9}]},
