--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -1,14 +1,14 @@
-"""Measures what a relay node decides: per arrival, event, change and fault.
+"""Measures the cost of a relay node's decisions.
 
     python -m bench.decisions           # the table, about a minute
     python -m bench.decisions --nodes 80 --profile
 
-Processor time of one process, without sockets: the choice of paths, the
-passing on of events, the looks at streams, rows of the registry, and what the
-loss of an engine brings about. The engines are of three kinds as published,
-placed by the plan itself until it asks for nothing. Each figure is the median
-of some repetitions, and the least of some rounds: a busy machine makes a round
-up to twice as long.
+Processor time of one process, without sockets: choosing paths, forwarding
+stream events, checking streams for silence, processing registry rows, handling
+the loss of an engine and planning layers. The engines are of three kinds, as
+one fleet publishes them, and are placed by repeated plans until a plan has no
+orders. Each figure is the median of several repetitions, and the minimum over
+several rounds, as a busy machine makes a round up to twice as long.
 """
 
 from __future__ import annotations
@@ -55,32 +55,37 @@
     from collections.abc import Callable
 
 SERVICE = "model"
-KINDS = {"a": (72_000.0, 2.4), "b": (43_200.0, 5.6), "c": (21_600.0, 16.0)}
-"""Memory and step factor by kind, as one fleet publishes them."""
+ENGINE_KINDS = {
+    "a": (72_000.0, 2.4),
+    "b": (43_200.0, 5.6),
+    "c": (21_600.0, 16.0),
+}
+"""Memory in MB and step factor by kind, as one fleet publishes them."""
 
-SHARES = (("a", 0.1), ("b", 0.35), ("c", 0.55))
-"""Part of each kind among the engines."""
+KIND_SHARES = (("a", 0.1), ("b", 0.35), ("c", 0.55))
+"""Share of each kind among the engines."""
 
-MAX_PLANS = 200
+MAX_PLACEMENT_PLANS = 200
 ROUNDS = 5
 TOKENS = 900.0
 ARRIVALS = 500
 SEARCHES = 20
 EVENTS = 5_000
-LOOKS = 500
+SILENCE_CHECKS = 500
 FAULTS = 8
 PLANS = 3
 US, MS = 1e6, 1e3
 FAR = -1e9
+"""Time of the last store outage, long past."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Size:
-    """A deployment.
+    """Size of a deployment.
 
     Attributes:
-        streams: Streams of one node at the same time, as far as the engines'
-            memory allows all nodes as many.
+        streams: Concurrent streams of the measured node, limited to what the
+            engines' memory allows if all nodes have as many.
     """
 
     nodes: int
@@ -93,35 +98,35 @@
 
 
 class SilentResponder(relays.Responder):
-    """An answer that nobody reads."""
+    """A responder that discards the answer."""
 
     head_sent = ended = False
 
     def send_head(self, *values: Any) -> None:
-        """Notes that the answer has begun."""
+        """Records that the answer has begun."""
         self.head_sent = True
 
     def send_data(self, data: bytes) -> None:
-        """Drops a part."""
+        """Discards a part."""
 
     def send_whole(self, *values: Any) -> None:
-        """Drops an answer."""
+        """Discards an answer."""
 
     def finish(self) -> None:
-        """Ends nothing."""
+        """Does nothing."""
 
     def break_off(self) -> None:
         """Ends nothing."""
 
     def fail(self, error: Exception) -> None:
-        """Drops an error."""
+        """Discards an error."""
 
 
 class SilentEngines(path_engines.PathEngines):
-    """Engines that obey every move at once and send nothing by themselves."""
+    """Engines that accept every order at once and send no events."""
 
     def forward(self, *values: Any) -> path_engines.ForwardedRequest:
-        """Takes a request."""
+        """Accepts a request."""
         return cast(
             "path_engines.ForwardedRequest",
             types.SimpleNamespace(cancel=lambda: None),
@@ -130,30 +135,30 @@
     async def report(
         self, address: str, timeout_s: float
     ) -> relayed.EngineReport | None:
-        """Says that all is well."""
+        """Returns the report of a healthy engine."""
         return relayed.EngineReport(1.0, 0.0, 1.0, 0, 0, False, 0, ())
 
     async def is_healthy(self, *values: Any) -> bool | None:
-        """Says that all is well."""
+        """Reports the engine as healthy."""
         return True
 
     async def place(self, *values: Any) -> path_engines.OrderAnswer:
-        """Obeys."""
+        """Accepts the order."""
         return path_engines.OrderAnswer(path_engines.OrderOutcome.BEGUN)
 
     async def repath(self, *values: Any) -> path_engines.OrderAnswer:
-        """Obeys."""
+        """Accepts the order."""
         return path_engines.OrderAnswer(path_engines.OrderOutcome.DONE)
 
     def forget(self, address: str) -> None:
-        """Closes nothing."""
+        """Does nothing."""
 
 
 def config() -> bytes:
     """Returns a configuration with one service."""
     kinds = [
         {"name": name, "mb": mb, "pace": factor}
-        for name, (mb, factor) in KINDS.items()
+        for name, (mb, factor) in ENGINE_KINDS.items()
     ]
     engine = {
         "slots": 96,
@@ -172,11 +177,11 @@
     return json.dumps({"version": 1, "services": [service]}).encode()
 
 
-def planned(size: Size) -> list[layer_holdings.PlannedEngine]:
-    """Returns empty engines, their kinds spread evenly over the zones."""
+def create_engines(size: Size) -> list[layer_holdings.PlannedEngine]:
+    """Returns engines without layers, each kind spread over the zones."""
     found = []
-    for name, share in SHARES:
-        memory_mb, factor = KINDS[name]
+    for name, share in KIND_SHARES:
+        memory_mb, factor = ENGINE_KINDS[name]
         for index in range(round(size.engines * share)):
             found.append(
                 layer_holdings.PlannedEngine(
@@ -190,11 +195,11 @@
     return found
 
 
-def obeyed(
+def apply_orders(
     engines: list[layer_holdings.PlannedEngine],
     orders: list[layer_plan.LayerOrder],
 ) -> list[layer_holdings.PlannedEngine]:
-    """Returns the engines with what they were ordered to hold."""
+    """Returns the engines with the layers that the orders assign them."""
     layers = {order.instance: order.layers for order in orders}
     return [
         dataclasses.replace(e, held=layers.get(e.instance, e.held))
@@ -202,10 +207,10 @@
     ]
 
 
-def entry(
+def engine_row(
     engine: layer_holdings.PlannedEngine, number: int, state: str = "ready"
 ) -> bytes:
-    """Returns the engine's row."""
+    """Returns the engine's registry row."""
     layers = None
     if engine.held is not None:
         layers = {"from": engine.held.start, "to": engine.held.end}
@@ -223,7 +228,7 @@
 
 
 class MeasuredNode:
-    """The parts of one node that decide, over a placed fleet."""
+    """The decision components of one node, over a placed fleet."""
 
     def __init__(self, size: Size) -> None:
         self.size = size
@@ -268,28 +273,28 @@
             engine_notice_s=2.0,
         )  # fmt: skip
         self.watch = silence_watch.SilenceWatch(self.shared)
-        self.engines = planned(size)
-        for _ in range(MAX_PLANS):
+        self.engines = create_engines(size)
+        for _ in range(MAX_PLACEMENT_PLANS):
             orders = layer_plan.plan_orders(self.engines, self.view().spec)
             if not orders:
                 break
-            self.engines = obeyed(self.engines, orders)
+            self.engines = apply_orders(self.engines, orders)
         self.revision = 1
         for number in range(len(self.engines)):
-            self.tell(number)
+            self.update_engine(number)
 
     def view(self) -> path_candidates.FleetView:
-        """Returns the fleet."""
+        """Returns the current view of the fleet."""
         found = self.known.view(SERVICE)
         assert found is not None
         return found
 
-    def tell(self, number: int, state: str = "ready") -> None:
-        """Takes an engine's row."""
+    def update_engine(self, number: int, state: str = "ready") -> None:
+        """Passes an engine's registry row to the catalogue."""
         self.revision += 1
         engine = self.engines[number]
         row = row_feeds.FeedRow(
-            engine.instance, entry(engine, number, state), self.revision
+            engine.instance, engine_row(engine, number, state), self.revision
         )
         self.known.take_engine_row(row, self.clock.monotonic(), FAR)
 
@@ -301,21 +306,21 @@
         return found
 
     def streams(self) -> list[stream_run.StreamRun]:
-        """Begins as many streams as the node usually has."""
-        begun = []
+        """Starts the number of streams that ``size`` gives."""
+        runs = []
         for number in range(self.size.streams):
             run = stream_run.StreamRun(
-                _routed(number), SilentResponder(), self.shared
+                _make_request(number), SilentResponder(), self.shared
             )
             run.begin()
             assert run.attempt is not None
             head = relayed.ForwardedHead(200, (), True, False, "")
             run.attempt.on_head(head)
-            begun.append(run)
-        return begun
+            runs.append(run)
+        return runs
 
 
-def _routed(number: int) -> routed_requests.RoutedRequest:
+def _make_request(number: int) -> routed_requests.RoutedRequest:
     request = relayed.RelayedRequest(
         f"r{number}", "POST", "h", "/", "/", (), b"", 1e6, "", "", 774, 200, 126
     )
@@ -338,33 +343,33 @@
 
 
 def timed(work: Callable[[], object]) -> float:
-    """Returns the processor time of some work, in seconds."""
+    """Returns the processor time of a call in seconds."""
     start = time.process_time()
     work()
     return time.process_time() - start
 
 
 def per_arrival(node: MeasuredNode) -> dict[str, float]:
-    """Measures the choice of a path, over kept paths and searched anew."""
+    """Measures the choice of a path, with and without cached paths."""
     node.choose()
     kept = []
     for _ in range(ARRIVALS):
         node.paths.cached[SERVICE].at = node.clock.monotonic()
         kept.append(timed(node.choose))
-    searched = []
+    searches = []
     for _ in range(SEARCHES):
         node.paths.cached.clear()
-        searched.append(timed(node.choose))
+        searches.append(timed(node.choose))
     return {
         "arrival_us": statistics.median(kept) * US,
-        "search_ms": statistics.median(searched) * MS,
+        "search_ms": statistics.median(searches) * MS,
     }
 
 
 def per_event(
     node: MeasuredNode, streams: list[stream_run.StreamRun]
 ) -> dict[str, float]:
-    """Measures an event of a stream, and a look at all streams."""
+    """Measures a stream event, and a silence check of all streams."""
     costs = []
     for number in range(1, EVENTS // len(streams) + 1):
         event = f"id: {number}\ndata: {'x' * 100}\n\n".encode()
@@ -372,7 +377,7 @@
             assert run.attempt is not None
             costs.append(timed(lambda a=run.attempt, e=event: a.on_data(e)))  # type: ignore[misc]
     looks = []
-    for _ in range(LOOKS):
+    for _ in range(SILENCE_CHECKS):
         now = asyncio.get_running_loop().time()
         for run in streams:
             assert run.attempt is not None
@@ -386,16 +391,16 @@
 
 
 def per_change(node: MeasuredNode) -> dict[str, float]:
-    """Measures rows that say nothing new, and a change of one engine."""
+    """Measures rows without a change, and a state change of one engine."""
     count = len(node.engines)
-    same = [timed(lambda n=n: node.tell(n)) for n in range(count)]  # type: ignore[misc]
+    unchanged = [timed(lambda n=n: node.update_engine(n)) for n in range(count)]  # type: ignore[misc]
     changed = []
     for number in range(SEARCHES):
         for state in ("draining", "ready"):
-            node.tell(number % count, state)
+            node.update_engine(number % count, state)
             changed.append(timed(node.choose))
     return {
-        "row_us": statistics.median(same) * US,
+        "row_us": statistics.median(unchanged) * US,
         "change_ms": statistics.median(changed) * MS,
     }
 
@@ -403,7 +408,7 @@
 async def per_fault(
     node: MeasuredNode, streams: list[stream_run.StreamRun]
 ) -> dict[str, float]:
-    """Measures the loss of the engine that most streams use, all moved."""
+    """Measures the loss of the most used engine, with all streams moved."""
     costs, moved = [], 0
     for _ in range(FAULTS):
         used: dict[str, int] = {}
@@ -427,7 +432,7 @@
 
 
 def per_plan(node: MeasuredNode) -> dict[str, float]:
-    """Measures the lease holder's plans: at rest, and after a loss."""
+    """Measures the lease holder's plans in steady state and after a loss."""
     spec = node.view().spec
 
     def plan(engines: list[layer_holdings.PlannedEngine]) -> float:
@@ -443,7 +448,7 @@
 
 
 async def measure(size: Size) -> dict[str, float]:
-    """Measures all paths of decision at one size."""
+    """Measures all decisions at one size."""
     node = MeasuredNode(size)
     streams = node.streams()
     found = per_arrival(node)
@@ -456,8 +461,8 @@
     return {name: round(value, 2) for name, value in found.items()}
 
 
-def least(rounds: list[dict[str, float]]) -> dict[str, float]:
-    """Returns each figure's least value."""
+def minimums(rounds: list[dict[str, float]]) -> dict[str, float]:
+    """Returns the minimum of each figure."""
     return {name: min(found[name] for found in rounds) for name in rounds[0]}
 
 
@@ -465,7 +470,11 @@
     """Prints a line for each size."""
     logging.getLogger("almondshift").addHandler(logging.NullHandler())
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--nodes", type=int, help="only this size")
+    parser.add_argument(
+        "--nodes",
+        type=int,
+        help="measure only the size with this number of nodes",
+    )
     parser.add_argument("--profile", action="store_true")
     arguments = parser.parse_args()
     lines = []
@@ -475,7 +484,7 @@
             continue
         if arguments.profile:
             profile.enable()
-        found = least([asyncio.run(measure(size)) for _ in range(ROUNDS)])
+        found = minimums([asyncio.run(measure(size)) for _ in range(ROUNDS)])
         profile.disable()
         lines.append({**dataclasses.asdict(size), **found})
         print(json.dumps(lines[-1]))
--- a/bench/watching.py
+++ b/bench/watching.py
@@ -1,9 +1,9 @@
-"""Measures what it costs a node to watch engines, without the calls.
+"""Measures the cost for a node of watching engines, without HTTP calls.
 
-Run as ``python -m bench.watching``; takes about 70 seconds. Each
-size has the real directory, the real choice of watchers and engines that
-answer at once in this process; what an HTTP call costs is measured by
-``python -m bench.pipeline_calls`` and has to be added for each question.
+Run as ``python -m bench.watching``; takes about 70 seconds. Each size uses
+the real directory, the real choice of watchers and engines that answer at
+once in this process. Add the cost of an HTTP call, as measured by
+``python -m bench.pipeline_calls``, for each requested load report.
 """
 
 from __future__ import annotations
@@ -37,14 +37,14 @@
 """Nodes and engines."""
 
 WARM_UP_S = 18.0
-"""Until the first questions, which are spread over this time, are over."""
+"""Covers the first requests to the engines, which are spread over this time."""
 
 MEASURE_S = 4.0
 CLOCK = system_clock.create_system_clock()
 
 
-class FixedList(vm_lists.VmList):
-    """A list of VMs that doesn't change."""
+class StaticVmList(vm_lists.VmList):
+    """A static list of VMs."""
 
     def __init__(self, vms: list[endpoints.Vm]) -> None:
         self.vms = vms
@@ -60,11 +60,11 @@
     """Engines that answer at once.
 
     Attributes:
-        questions: Load reports that were asked for.
+        load_requests: Number of load reports requested.
     """
 
     def __init__(self) -> None:
-        self.questions = 0
+        self.load_requests = 0
 
     def build(self, name: str, address: str) -> engine_ports.Engine:
         """Returns an engine."""
@@ -79,7 +79,7 @@
             return expression.Ok(description)
 
         async def load() -> object:
-            self.questions += 1
+            self.load_requests += 1
             return expression.Ok(report)
 
         async def cache_events(after: int) -> object:
@@ -98,7 +98,7 @@
 
 
 def make_membership(nodes: int) -> memberships.Membership:
-    """Returns a membership that knows so many nodes, all heard from."""
+    """Returns a membership with ``nodes`` nodes, all of them alive."""
     found = exchange.System(nodes)
     link = exchange.CodecLink({}, "node-0:1", exchange.Traffic())
     identity = peer_types.NodeIdentity("node-0", "node-0:1", "", "zone")
@@ -119,12 +119,12 @@
 
 
 async def measure(nodes: int, count: int) -> None:
-    """Prints the share of a core and the questions a second."""
+    """Prints processor time and requested load reports per second."""
     membership = make_membership(nodes)
     driver = router_driver.create_router_driver(exchange.IdleRouter(), CLOCK)
     factory = InstantEngines()
     known = directory.Directory(
-        FixedList([exchange.make_vm(f"engine-{n}") for n in range(count)]),
+        StaticVmList([exchange.make_vm(f"engine-{n}") for n in range(count)]),
         factory,
         driver,
         step_timeouts.create_step_timeouts(),
@@ -139,15 +139,15 @@
     known.watches = shared.watches
     await known.start()
     await asyncio.sleep(WARM_UP_S)
-    asked, started = factory.questions, time.process_time()
+    requested, started = factory.load_requests, time.process_time()
     await asyncio.sleep(MEASURE_S)
     share = (time.process_time() - started) / MEASURE_S
-    asked = factory.questions - asked
+    requested = factory.load_requests - requested
     watched = sum(e.watched for e in known.endpoints.values())
     print(
         f"{nodes} nodes, {count} engines: {watched} watched, "
-        f"{asked / MEASURE_S:.0f} reports asked for a second, "
-        f"{100 * share:.2f}% of a core beside the calls",
+        f"{requested / MEASURE_S:.0f} reports requested per second, "
+        f"{100 * share:.2f}% of a core without the calls",
         flush=True,
     )
     await known.close()
