--- a/bench/answer_parsers.py
+++ b/bench/answer_parsers.py
@@ -49,7 +49,7 @@
         connection.close()
 
 
-class EventRequester(http_channels.CallListener):
+class Counter(http_channels.CallListener):
     """Asks for the next event after each."""
 
     def __init__(self) -> None:
@@ -57,7 +57,7 @@
         self.done = asyncio.get_running_loop().create_future()
 
     def on_head(self, head: http_channels.AnswerHead) -> None:
-        """Ignores the head."""
+        """Takes the head."""
 
     def on_data(self, data: bytes) -> None:
         """Asks for the next event."""
@@ -72,13 +72,13 @@
 
 
 async def read_channels(port: int) -> None:
-    """Reads a stream with ``http_channels``."""
+    """Reads a stream by our client."""
     pool = http_channels.create_channel_pool()
-    requester = EventRequester()
+    counter = Counter()
     payload = http_channels.request_bytes("POST", "/", [("Host", "h")], b"")
     address = f"127.0.0.1:{port}"
-    requester.call = pool.call(address, payload, requester, "r1")
-    outcome = await requester.done
+    counter.call = pool.call(address, payload, counter, "r1")
+    outcome = await counter.done
     assert outcome is http_channels.Outcome.WHOLE
 
 
