--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements, each against a named baseline in the same run."""
+"""Benchmarks, each compared with a named baseline in the same run."""
--- a/bench/exchange.py
+++ b/bench/exchange.py
@@ -5,7 +5,7 @@
 engines per node and the traffic of a busy system: the load of every engine
 changes each second, its state on average once in ``STATE_CHANGE_S``, and each
 node has requests of 20 accounts. The baseline is a full mesh that sends
-each node's own facts to every other node once a second, over the same codec.
+each node's own facts to every other node once per second, over the same codec.
 
 Run: ``python -m bench.exchange [SIZE ...]``
 """
--- a/bench/load.py
+++ b/bench/load.py
@@ -141,26 +141,27 @@
 ) -> dict[str, Any]:
     """Returns the measured values of the performance targets."""
 
-    def router_of(pattern: str) -> dict[str, Any]:
+    def router_figures(pattern: str) -> dict[str, Any]:
         return found[pattern]["router"]
 
     short = _short_request_p99_ratio()
     hot = patterns.hot_account(clusters.create_router, SEED, 10.0)
     part = hot.results.between(hot.start, hot.end)
     others = part.where(lambda o: o.arrival.account != patterns.HOT_ACCOUNT)
-    once = router_of("steady 1x")["goodput_tokens_per_s"]
+    goodput_1x = router_figures("steady 1x")["goodput_tokens_per_s"]
     return {
         "goodput_4x_by_1x": (
-            router_of("steady 4x")["goodput_tokens_per_s"] / once
+            router_figures("steady 4x")["goodput_tokens_per_s"] / goodput_1x
         ),
         "others_in_time_beside_hot_account": (
-            others.good_share() / router_of("others alone")["in_time_share"]
+            others.good_share()
+            / router_figures("others alone")["in_time_share"]
         ),
         "short_p99_among_long_by_alone": short,
         "goodput_with_slow_endpoint_by_1x": (
-            router_of("slow endpoint")["goodput_tokens_per_s"] / once
+            router_figures("slow endpoint")["goodput_tokens_per_s"] / goodput_1x
         ),
-        "refusals_within_50_ms_at_4x": router_of("steady 4x")[
+        "refusals_within_50_ms_at_4x": router_figures("steady 4x")[
             "refusals_within_50_ms"
         ],
     }
--- a/bench/platform/__init__.py
+++ b/bench/platform/__init__.py
@@ -1,1 +1,1 @@
-"""What the measurements speak to the users' bench."""
+"""Interface to the users' bench program."""
--- a/bench/virtual/__init__.py
+++ b/bench/virtual/__init__.py
@@ -1,1 +1,1 @@
-"""Virtual time: several routers that each see a part of it, and late."""
+"""Simulates routers that have partial, delayed views, in virtual time."""
--- a/bench/virtual/clusters.py
+++ b/bench/virtual/clusters.py
@@ -149,7 +149,7 @@
         self._start(make_fleet(accounts or {}))
 
     def bound(self, prompt_tokens: int = 32, max_tokens: int = 32) -> float:
-        """Returns the hardware bound in generated tokens a second.
+        """Returns the hardware bound in generated tokens per second.
 
         Each generated token is charged a share of its prompt: the work of the
         prompt's tokens, and a place in a batch for each chunk.
--- a/bench/virtual/nodes.py
+++ b/bench/virtual/nodes.py
@@ -32,8 +32,8 @@
     Attributes:
         epoch: Incremented when a stage fails or the request ends; callbacks
             of an earlier epoch are ignored.
-        tokens: Generated tokens; negative while chunks of the prompt are
-            being counted.
+        tokens: Number of generated tokens. While the prompt is processed, the
+            negative number of chunks that the last stage has finished.
         prompt_tokens_done: Prompt tokens that the first stage has processed.
     """
 
--- a/bench/virtual/patterns.py
+++ b/bench/virtual/patterns.py
@@ -48,7 +48,7 @@
     """The results of a pattern run.
 
     Attributes:
-        bound: Hardware bound in generated tokens a second, before faults.
+        bound: Hardware bound in generated tokens per second, before faults.
         bound_after: Hardware bound after the pattern's fault.
         start: Start of the measured interval, in virtual seconds.
         end: End of the measured interval.
