--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -110,7 +110,7 @@
     def finish(self) -> None:
         """Ends nothing."""
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """Ends nothing."""
 
     def fail(self, error: Exception) -> None:
@@ -332,7 +332,7 @@
         max_attempts=2,
         public=True,
         resumable=True,
-        patience_s=2.0,
+        abandon_after_s=2.0,
     )
     return routed_requests.RoutedRequest(request, route, SERVICE, "", 1, 1)
 
--- a/src/almondshift/adapters/http_operations.py
+++ b/src/almondshift/adapters/http_operations.py
@@ -90,7 +90,7 @@
         known = (errors.AlmondshiftError, tornado.web.HTTPError)
         if isinstance(value, known):
             return
-        fault = log_events.RequestFault(self.request_id, repr(value))
+        fault = log_events.RequestInternalError(self.request_id, repr(value))
         log_events.emit(logger, fault)
 
     def send_json(self, value: Any) -> None:
--- a/src/almondshift/log_events.py
+++ b/src/almondshift/log_events.py
@@ -90,7 +90,7 @@
     changed: str
 
 
-class NodeWoke(Event, frozen=True):
+class NodeResumed(Event, frozen=True):
     """The process was paused for a while; its state may be stale."""
 
     number = 1006
@@ -291,7 +291,7 @@
     detail: str
 
 
-class EndpointRowLate(Event, frozen=True):
+class StaleEndpointEntry(Event, frozen=True):
     """A late entry from an earlier start of an endpoint is ignored."""
 
     number = 4007
@@ -313,7 +313,7 @@
     told_by: str
 
 
-class EndpointStartFalse(Event, frozen=True):
+class EndpointStartCorrected(Event, frozen=True):
     """The accepted start time of an endpoint was wrong and is replaced."""
 
     number = 4009
@@ -325,7 +325,7 @@
     false_born_ms: int
 
 
-class EndpointDoubted(Event, frozen=True):
+class EndpointRechecked(Event, frozen=True):
     """A peer reported an endpoint as lost, and this node checked it itself."""
 
     number = 4010
@@ -426,7 +426,7 @@
     received: str
 
 
-class RequestFault(Event, frozen=True):
+class RequestInternalError(Event, frozen=True):
     """An unexpected exception in this program ended a request."""
 
     number = 5007
@@ -499,7 +499,7 @@
     left_s: float
 
 
-class AnswerCut(Event, frozen=True):
+class AnswerAborted(Event, frozen=True):
     """The shutdown aborted a request that had no complete answer yet."""
 
     number = 5012
@@ -608,7 +608,7 @@
     endpoint: str
 
 
-class QuarantineConvicted(Event, frozen=True):
+class RequestQuarantined(Event, frozen=True):
     """A request crashed too many endpoints and is refused for a while."""
 
     number = 8002
--- a/src/almondshift/model/engine_specs.py
+++ b/src/almondshift/model/engine_specs.py
@@ -33,9 +33,9 @@
         step_ms: Time of a decode step over all layers without requests.
         step_ms_per_request: Added by each request that is generating.
         step_ms_per_kilotoken: Added by each 1,000 tokens of context.
-        read_tokens_per_s: Prefill speed.
-        usual_prompt: Mean length of a prompt in tokens.
-        usual_answer: Mean length of an answer in tokens.
+        prefill_tokens_per_s: Prefill speed.
+        mean_prompt_tokens: Mean length of a prompt in tokens.
+        mean_answer_tokens: Mean length of an answer in tokens.
         slots: Requests that an engine runs at once as the first of a path.
         kinds: Kinds of accelerators by name.
     """
@@ -47,13 +47,13 @@
     step_ms: float
     step_ms_per_request: float
     step_ms_per_kilotoken: float
-    read_tokens_per_s: float
-    usual_prompt: float
-    usual_answer: float
+    prefill_tokens_per_s: float
+    mean_prompt_tokens: float
+    mean_answer_tokens: float
     slots: int
     kinds: dict[str, AcceleratorKind]
 
-    def layer_token_room(self, kind: str, held: int) -> float:
+    def layer_token_capacity(self, kind: str, held: int) -> float:
         """Returns the memory for requests, in tokens times layers.
 
         Args:
--- a/src/almondshift/model/layers.py
+++ b/src/almondshift/model/layers.py
@@ -21,7 +21,7 @@
         """Returns whether ``other`` lies within this range."""
         return self.start <= other.start and other.end <= self.end
 
-    def shared_with(self, other: LayerRange) -> LayerRange | None:
+    def intersection(self, other: LayerRange) -> LayerRange | None:
         """Returns the layers in both ranges; None if there are none."""
         start, end = max(self.start, other.start), min(self.end, other.end)
         return LayerRange(start, end) if start < end else None
--- a/src/almondshift/model/routes.py
+++ b/src/almondshift/model/routes.py
@@ -40,7 +40,8 @@
         max_attempts: Maximum number of endpoints that may run one request.
         public: Whether callers need no key.
         resumable: Whether a stream may resume at another endpoint.
-        patience_s: Silence after which callers are assumed to abandon a stream.
+        abandon_after_s: Silence after which callers are assumed to abandon a
+            stream.
     """
 
     name: str
@@ -55,7 +56,7 @@
     max_attempts: int
     public: bool
     resumable: bool
-    patience_s: float
+    abandon_after_s: float
 
     @property
     def is_stream(self) -> bool:
--- a/src/almondshift/node/crash_guard.py
+++ b/src/almondshift/node/crash_guard.py
@@ -221,7 +221,7 @@
     ) -> errors.Quarantined:
         log_events.emit(
             logger,
-            log_events.QuarantineConvicted(
+            log_events.RequestQuarantined(
                 request_id=request_id,
                 fingerprint=self._fingerprint(request_id),
                 expires_s=round(verdict.retry_after_s, 1),
--- a/src/almondshift/node/gateway.py
+++ b/src/almondshift/node/gateway.py
@@ -73,18 +73,18 @@
 
     def begin(
         self,
-        wanted: gateway.Admission,
+        admission: gateway.Admission,
         cut: Callable[[errors.NodeLeaving], None],
     ) -> expression.Result[None, errors.NodeLeaving]:
         """Admits a request, or refuses it and names other addresses."""
         taken = self.drain.begin(
-            wanted.request_id,
-            self.expected_s(wanted.service, wanted.tokens),
-            wanted.deadline,
+            admission.request_id,
+            self.expected_s(admission.service, admission.tokens),
+            admission.deadline,
         )
         if taken.is_error():
             return expression.Error(self._with_other_addresses(taken.error))
-        self._cut_callbacks[wanted.request_id] = cut
+        self._cut_callbacks[admission.request_id] = cut
         return taken
 
     def end(self, request_id: str) -> None:
--- a/src/almondshift/platform/decode.py
+++ b/src/almondshift/platform/decode.py
@@ -287,7 +287,7 @@
         max_attempts=max(1, wire.max_attempts),
         public=wire.public,
         resumable=wire.can_resume,
-        patience_s=max(
+        abandon_after_s=max(
             MIN_SILENCE_TIMEOUT_S,
             SILENCE_TIMEOUT_OBJECTIVES * objective_s,
             SILENCE_TIMEOUT_GAPS * event_gap_s,
@@ -323,9 +323,9 @@
         step_ms=wire.step_ms,
         step_ms_per_request=wire.per_seq_ms,
         step_ms_per_kilotoken=wire.context_per_k,
-        read_tokens_per_s=wire.read_per_s,
-        usual_prompt=wire.usual.prompt,
-        usual_answer=wire.usual.answer,
+        prefill_tokens_per_s=wire.read_per_s,
+        mean_prompt_tokens=wire.usual.prompt,
+        mean_answer_tokens=wire.usual.answer,
         slots=wire.slots,
         kinds={
             k.name: engine_specs.AcceleratorKind(k.name, k.mb, k.pace, k.readX)
--- a/src/almondshift/platform/front.py
+++ b/src/almondshift/platform/front.py
@@ -86,7 +86,7 @@
         self.ended = True
         self.connection.finish()
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """Closes the connection before the response is complete."""
         if self.ended:
             return
@@ -142,7 +142,7 @@
         self.start_line: httputil.RequestStartLine | None = None
         self.headers: httputil.HTTPHeaders | None = None
         self.parts: list[bytes] = []
-        self.relaying: relays.Relaying | None = None
+        self.relaying: relays.ActiveRequest | None = None
 
     def headers_received(
         self,
--- a/src/almondshift/policy/path_candidates.py
+++ b/src/almondshift/policy/path_candidates.py
@@ -181,7 +181,9 @@
             running = load.running(engine.instance)
         factor = _step_factor(engine.kind, spec)
         batch = running * held / spec.layers * BATCH_WAIT_FACTOR
-        context_k = (spec.usual_prompt + spec.usual_answer / 2) / 1000
+        context_k = (
+            spec.mean_prompt_tokens + spec.mean_answer_tokens / 2
+        ) / 1000
         per_request = spec.step_ms_per_request
         per_request += spec.step_ms_per_kilotoken * context_k
         step_ms = spec.step_ms + per_request * batch
@@ -193,7 +195,7 @@
             start=engine.layers.start,
             end=engine.layers.end,
             layer_ms=factor * pace * step_ms / spec.layers * self._jitter(),
-            room=spec.layer_token_room(engine.kind, held),
+            room=spec.layer_token_capacity(engine.kind, held),
             used=load.used(engine.instance, held)
             / self.tolerance(engine.instance, load.now),
             may_be_first=load.first(engine.instance) < engine.slots,
--- a/src/almondshift/policy/path_choice.py
+++ b/src/almondshift/policy/path_choice.py
@@ -240,7 +240,7 @@
     def _search(
         self, view: path_candidates.FleetView, now: float
     ) -> list[path_search.FoundPath]:
-        tokens = view.spec.usual_prompt + view.spec.usual_answer
+        tokens = view.spec.mean_prompt_tokens + view.spec.mean_answer_tokens
         for candidates in self.candidates.candidate_sets(view, now):
             preferred = [
                 c
--- a/src/almondshift/ports/gateway.py
+++ b/src/almondshift/ports/gateway.py
@@ -119,12 +119,12 @@
 
     @abc.abstractmethod
     def begin(
-        self, wanted: Admission, cut: Callable[[errors.NodeLeaving], None]
+        self, admission: Admission, cut: Callable[[errors.NodeLeaving], None]
     ) -> expression.Result[None, errors.NodeLeaving]:
         """Admits a request, or refuses it while the node is shutting down.
 
         Args:
-            wanted: The request.
+            admission: The request.
             cut: Called if the node stops before the request has ended.
         """
 
--- a/src/almondshift/ports/relays.py
+++ b/src/almondshift/ports/relays.py
@@ -43,7 +43,7 @@
         """Ends the answer as complete."""
 
     @abc.abstractmethod
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """Aborts the answer so that it can't be mistaken for a complete one."""
 
     @abc.abstractmethod
@@ -51,7 +51,7 @@
         """Answers with an error; only before the head has been sent."""
 
 
-class Relaying(abc.ABC):
+class ActiveRequest(abc.ABC):
     """A request that is being served."""
 
     @abc.abstractmethod
@@ -69,7 +69,7 @@
     @abc.abstractmethod
     def accept(
         self, request: relayed.RelayedRequest, responder: Responder
-    ) -> Relaying:
+    ) -> ActiveRequest:
         """Accepts a request; the answer goes to ``responder``."""
 
     @abc.abstractmethod
--- a/src/almondshift/relay/application.py
+++ b/src/almondshift/relay/application.py
@@ -318,7 +318,9 @@
         suspended_s = now - self.last_tick_at - TICK_S
         self.last_tick_at = now
         if suspended_s > MAX_TICK_DELAY_S:
-            log_events.emit(logger, log_events.NodeWoke(round(suspended_s, 2)))
+            log_events.emit(
+                logger, log_events.NodeResumed(round(suspended_s, 2))
+            )
         self.catalogue.expire_removals(now)
         self.shared.crashes.strikes.forget_old(now)
         if self.group is not None:
--- a/src/almondshift/relay/catalogue.py
+++ b/src/almondshift/relay/catalogue.py
@@ -235,13 +235,17 @@
         former = self.starts.accepted_start(row.key)
         verdict = self.starts.judge(row.key, engine.born_ms, row.revision, now)
         if verdict is engine_starts.StartVerdict.LATE:
-            event = log_events.EndpointRowLate(row.key, engine.born_ms, former)
+            event = log_events.StaleEndpointEntry(
+                row.key, engine.born_ms, former
+            )
             log_events.emit(logger, event)
             return False
         if verdict is engine_starts.StartVerdict.OVERTURNS:
             log_events.emit(
                 logger,
-                log_events.EndpointStartFalse(row.key, engine.born_ms, former),
+                log_events.EndpointStartCorrected(
+                    row.key, engine.born_ms, former
+                ),
             )
         return True
 
--- a/src/almondshift/relay/context.py
+++ b/src/almondshift/relay/context.py
@@ -57,4 +57,4 @@
     drain: drain.NodeDrain
     registry_age_s: Callable[[], float]
     engine_notice_s: float
-    running: set[relays.Relaying] = dataclasses.field(default_factory=set)
+    running: set[relays.ActiveRequest] = dataclasses.field(default_factory=set)
--- a/src/almondshift/relay/crash_watch.py
+++ b/src/almondshift/relay/crash_watch.py
@@ -169,7 +169,7 @@
         for fingerprint in fingerprints:
             log_events.emit(
                 logger,
-                log_events.QuarantineConvicted(
+                log_events.RequestQuarantined(
                     request_id="",
                     fingerprint=fingerprint,
                     expires_s=crash_strikes.STRIKE_S,
--- a/src/almondshift/relay/gateway.py
+++ b/src/almondshift/relay/gateway.py
@@ -41,7 +41,7 @@
 STARTING_RETRY_S = 0.5
 
 
-class PendingDenial(relays.Relaying):
+class PendingDenial(relays.ActiveRequest):
     """A request whose denial waits until the configuration is confirmed.
 
     Attributes:
@@ -52,7 +52,7 @@
     def __init__(self, refuse: Callable[[], None]) -> None:
         self.refuse = refuse
         self.gone = False
-        self.run: relays.Relaying | None = None
+        self.run: relays.ActiveRequest | None = None
 
     def caller_gone(self) -> None:
         """Stops, or notifies the run that was started."""
@@ -67,7 +67,7 @@
             self.refuse()
 
 
-class RefusedRequest(relays.Relaying):
+class RefusedRequest(relays.ActiveRequest):
     """A request that has already been refused."""
 
     def caller_gone(self) -> None:
@@ -128,7 +128,7 @@
 
     def accept(
         self, request: relayed.RelayedRequest, responder: relays.Responder
-    ) -> relays.Relaying:
+    ) -> relays.ActiveRequest:
         """Serves or refuses a request."""
         if self.leaving:
             self.log_late_request(request)
@@ -196,7 +196,7 @@
 
     def serve(
         self, request: relayed.RelayedRequest, responder: relays.Responder
-    ) -> relays.Relaying:
+    ) -> relays.ActiveRequest:
         """Starts a run for a request.
 
         Raises:
--- a/src/almondshift/relay/layer_keeper.py
+++ b/src/almondshift/relay/layer_keeper.py
@@ -211,7 +211,7 @@
             return engine
         certain = None
         if pending.is_unanswered and engine.held is not None:
-            certain = engine.held.shared_with(pending.layers)
+            certain = engine.held.intersection(pending.layers)
         return dataclasses.replace(
             engine,
             held=pending.layers,
--- a/src/almondshift/relay/runs.py
+++ b/src/almondshift/relay/runs.py
@@ -33,7 +33,7 @@
 GIVEN_UP = "given up"
 
 
-class Run(relays.Relaying):
+class Run(relays.ActiveRequest):
     """A request that is being served.
 
     Attributes:
@@ -179,7 +179,7 @@
         observer.ended.labels(error.kind).inc()
         if self.responder.head_sent:
             observer.emit(self.abandoned(error.kind))
-            self.responder.break_off()
+            self.responder.abort()
             return
         observer.emit(
             log_events.RequestRefused(
@@ -254,7 +254,7 @@
     def note_cut(self) -> None:
         """Logs that this run was cut because the node stops."""
         self.shared.observer.emit(
-            log_events.AnswerCut(
+            log_events.AnswerAborted(
                 request_id=self.routed.request.request_id,
                 service=self.routed.service,
                 age_s=self.elapsed_s(),
--- a/src/almondshift/relay/silence_watch.py
+++ b/src/almondshift/relay/silence_watch.py
@@ -113,7 +113,7 @@
         probed = path_probe.ProbeRound(self.shared, self.questions, self.moves)
         await probed.check(part, is_peer_report=True)
         self.shared.observer.emit(
-            log_events.EndpointDoubted(
+            log_events.EndpointRechecked(
                 engine.instance,
                 peer,
                 bool(probed.lost),
--- a/src/almondshift/relay/stream_run.py
+++ b/src/almondshift/relay/stream_run.py
@@ -108,7 +108,7 @@
     def search_later(self, search: Callable[[], None]) -> None:
         """Schedules another search for a path while the caller still waits."""
         waited_s = self.loop.time() - self.progress_at
-        if waited_s + RESUME_RETRY_S >= self.routed.route.patience_s:
+        if waited_s + RESUME_RETRY_S >= self.routed.route.abandon_after_s:
             self.refuse(errors.UpstreamFailed("No path can resume the stream."))
             return
         self.retry_timer = self.loop.call_later(RESUME_RETRY_S, search)
@@ -547,7 +547,7 @@
     def note_no_event(self, attempt: stream_attempt.StreamAttempt) -> None:
         """Records a first engine that sent nothing for nearly too long."""
         waited_s = self.loop.time() - attempt.sent_at
-        if waited_s >= NO_EVENT_SHARE * self.routed.route.patience_s:
+        if waited_s >= NO_EVENT_SHARE * self.routed.route.abandon_after_s:
             now = self.shared.clock.monotonic()
             self.shared.book.note_no_first_event(attempt.first.instance, now)
 
--- a/tests/coordination/test_claim_machine.py
+++ b/tests/coordination/test_claim_machine.py
@@ -125,7 +125,7 @@
     @stateful.rule(
         node=NODES,
         outcomes=strategies.lists(
-            strategies.sampled_from(fake_tables.MOSTLY_FINE), max_size=4
+            strategies.sampled_from(fake_tables.MOSTLY_OK), max_size=4
         ),
     )
     def fail_next(self, node: int, outcomes: list[fake_tables.Outcome]) -> None:
@@ -143,8 +143,8 @@
         self.settle()
 
     @stateful.rule(node=NODES)
-    def land_late(self, node: int) -> None:
-        self.nodes.stores[node].land_late()
+    def apply_late_writes(self, node: int) -> None:
+        self.nodes.stores[node].apply_late_writes()
 
     @stateful.rule(seconds=strategies.sampled_from([0.1, 1.0, 10.0]))
     def pass_time(self, seconds: float) -> None:
--- a/tests/coordination/test_claims.py
+++ b/tests/coordination/test_claims.py
@@ -227,7 +227,7 @@
             return
         assert type(first.error) is errors.StoreUnavailable
         assert first.error.execution is errors.Execution.NOT_RUN
-        nodes.stores[0].land_late()
+        nodes.stores[0].apply_late_writes()
         assert isinstance((await nodes.claim(1)).ok, claims.Claimed)
 
     run(case())
--- a/tests/coordination/test_lease.py
+++ b/tests/coordination/test_lease.py
@@ -217,7 +217,7 @@
         cluster.stores[0].outcomes.extend([Outcome.OK, lost])
         await first.step()
         assert cluster.fencing(0) == 0
-        cluster.stores[0].land_late()
+        cluster.stores[0].apply_late_writes()
         cluster.stores[0].outcomes.extend([Outcome.OK, Outcome.REFUSED])
         await cluster.clock.advance(2.0)
         await first.step()
@@ -275,7 +275,7 @@
     @stateful.rule(
         index=ACTORS,
         outcomes=strategies.lists(
-            strategies.sampled_from(fake_tables.MOSTLY_FINE), max_size=4
+            strategies.sampled_from(fake_tables.MOSTLY_OK), max_size=4
         ),
     )
     def fail_next(self, index: int, outcomes: list[Outcome]) -> None:
@@ -291,8 +291,8 @@
         self.settle()
 
     @stateful.rule(index=ACTORS)
-    def land_late(self, index: int) -> None:
-        self.cluster.stores[index].land_late()
+    def apply_late_writes(self, index: int) -> None:
+        self.cluster.stores[index].apply_late_writes()
 
     @stateful.rule(seconds=strategies.sampled_from([0.5, 2.0, 3.0, 6.2, 6.5]))
     def pass_time(self, seconds: float) -> None:
--- a/tests/coordination/test_versioned_config.py
+++ b/tests/coordination/test_versioned_config.py
@@ -271,7 +271,7 @@
     @stateful.rule(
         index=NODES,
         outcomes=strategies.lists(
-            strategies.sampled_from(fake_tables.MOSTLY_FINE), max_size=4
+            strategies.sampled_from(fake_tables.MOSTLY_OK), max_size=4
         ),
     )
     def fail_next(self, index: int, outcomes: list[Outcome]) -> None:
@@ -287,8 +287,8 @@
         self.settle()
 
     @stateful.rule(index=NODES)
-    def land_late(self, index: int) -> None:
-        self.stores[index].land_late()
+    def apply_late_writes(self, index: int) -> None:
+        self.stores[index].apply_late_writes()
 
     @stateful.rule(seconds=strategies.sampled_from([0.01, 0.1, 1.0]))
     def pass_time(self, seconds: float) -> None:
@@ -314,7 +314,7 @@
         for store in self.stores:
             store.outcomes.clear()
             store.resume()
-            store.land_late()
+            store.apply_late_writes()
         self.advance(60.0)
 
     def check_answers(self) -> None:
--- a/tests/fakes/tables.py
+++ b/tests/fakes/tables.py
@@ -25,10 +25,10 @@
     DROPPED = enum.auto()
     """A write does not take effect; the caller gets an unknown outcome."""
     LATE = enum.auto()
-    """A write takes effect at ``land_late``; until then like ``DROPPED``."""
+    """Like ``DROPPED`` until ``apply_late_writes``; then it takes effect."""
 
 
-MOSTLY_FINE = [Outcome.OK] * 4 + [
+MOSTLY_OK = [Outcome.OK] * 4 + [
     Outcome.REFUSED,
     Outcome.LOST,
     Outcome.DROPPED,
@@ -106,7 +106,7 @@
             return expression.Error(result.error)
         return expression.Ok(result.ok)
 
-    def land_late(self) -> None:
+    def apply_late_writes(self) -> None:
         """Applies the late writes whose conditions hold."""
         for writes in self.late:
             self.shared.transact(writes)
--- a/tests/platform/test_decode.py
+++ b/tests/platform/test_decode.py
@@ -31,18 +31,18 @@
     once = config.table.find("chat.example", "/once/")
     assert not once.may_repeat
     spec = config.services["model"].engine
-    assert (spec.layers, spec.load_s, spec.usual_answer) == (80, 1.0, 20)
+    assert (spec.layers, spec.load_s, spec.mean_answer_tokens) == (80, 1.0, 20)
     assert spec.kinds["big"].memory_mb == 72_000
     assert config.services["plain"].engine is None
     assert config.account_by_key["key-1"].name == "account"
 
 
 @pytest.mark.parametrize(
-    ("objective_ms", "gap_ms", "patience_s"),
+    ("objective_ms", "gap_ms", "abandon_after_s"),
     [(200, 200, 2.0), (500, 250, 2.0), (603, 250, 2.412), (100, 500, 4.0)],
 )
 def test_the_silence_timeout_follows_from_the_route(
-    objective_ms: float, gap_ms: float, patience_s: float
+    objective_ms: float, gap_ms: float, abandon_after_s: float
 ) -> None:
     """If too short, streams are given up whose callers still wait."""
     route = standin_system.route(
@@ -55,7 +55,7 @@
     )
     config = _decoded(routes=[route]).ok
     found = config.table.find("chat.example", "/r/")
-    assert found.patience_s == pytest.approx(patience_s)
+    assert found.abandon_after_s == pytest.approx(abandon_after_s)
 
 
 @pytest.mark.parametrize(
--- a/tests/platform/test_fuzzed_borders.py
+++ b/tests/platform/test_fuzzed_borders.py
@@ -41,10 +41,10 @@
 
     def accept(
         self, request: relayed.RelayedRequest, responder: relays.Responder
-    ) -> relays.Relaying:
+    ) -> relays.ActiveRequest:
         self.accepted.append(request)
         responder.send_whole(200, (), b"ok")
-        return NoopRelaying()
+        return NoopActiveRequest()
 
     def limits(self) -> routing_config.CallerLimits:
         return LIMITS
@@ -56,7 +56,7 @@
         return []
 
 
-class NoopRelaying(relays.Relaying):
+class NoopActiveRequest(relays.ActiveRequest):
     def caller_gone(self) -> None:
         return
 
--- a/tests/policy/test_layer_plan.py
+++ b/tests/policy/test_layer_plan.py
@@ -19,9 +19,9 @@
     step_ms=1.02,
     step_ms_per_request=0.014,
     step_ms_per_kilotoken=0.019,
-    read_tokens_per_s=105_000.0,
-    usual_prompt=774.0,
-    usual_answer=200.0,
+    prefill_tokens_per_s=105_000.0,
+    mean_prompt_tokens=774.0,
+    mean_answer_tokens=200.0,
     slots=96,
     kinds={},
 )
--- a/tests/policy/test_path_choice.py
+++ b/tests/policy/test_path_choice.py
@@ -15,8 +15,8 @@
 SPEC = engine_specs.EngineSpec(
     layers=80, layer_mb=1750.0, token_bytes=1_836_000.0, load_s=14.0,
     step_ms=1.02, step_ms_per_request=0.014, step_ms_per_kilotoken=0.019,
-    read_tokens_per_s=105_000.0, usual_prompt=774.0, usual_answer=200.0,
-    slots=96, kinds={"k": KIND},
+    prefill_tokens_per_s=105_000.0, mean_prompt_tokens=774.0,
+    mean_answer_tokens=200.0, slots=96, kinds={"k": KIND},
 )  # fmt: skip
 TOKENS = 974.0
 
@@ -73,7 +73,7 @@
         zones[chosen.zone] = zones.get(chosen.zone, 0) + 1
         if is_answering:
             _report_memory(chooser, 0.0)
-    room = SPEC.layer_token_room("k", 20) / 20 / TOKENS
+    room = SPEC.layer_token_capacity("k", 20) / 20 / TOKENS
     total = sum(zones.values())
     # Each node may admit one request more than its exact share.
     assert total * 7 <= 3 * (times * room + 7)
@@ -176,7 +176,7 @@
         chooser.book.add(chosen.used, TOKENS)
     assert len(chooser.nearly_full) == len(view.engines)
     for engine in view.engines:
-        room = SPEC.layer_token_room("k", 20)
+        room = SPEC.layer_token_capacity("k", 20)
         chooser.book.note_used(engine.instance, room * 0.4, 1.0)
     admitted = 0
     while (chosen := chooser.choose(view, TOKENS, 1.1)) is not None:
--- a/tests/policy/test_pooled_load.py
+++ b/tests/policy/test_pooled_load.py
@@ -119,5 +119,5 @@
             if chosen is not None:
                 chooser.book.add(chosen.used, fleets.TOKENS)
                 admitted += 1
-    room = 3 * fleets.SPEC.layer_token_room("k", 20) / 20 / fleets.TOKENS
+    room = 3 * fleets.SPEC.layer_token_capacity("k", 20) / 20 / fleets.TOKENS
     assert 0.7 * room <= admitted <= 1.35 * room
--- a/tests/relay/test_lost_engines.py
+++ b/tests/relay/test_lost_engines.py
@@ -57,7 +57,7 @@
             first.lost.suspect("a0", engine_book.Suspicion.UNREACHABLE)
             await running.until(
                 lambda: any(
-                    isinstance(e, log_events.EndpointDoubted) for e in seen
+                    isinstance(e, log_events.EndpointRechecked) for e in seen
                 ),
                 1.5,
             )
