--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -235,9 +235,9 @@
         self.known.apply_config_row(
             row_feeds.FeedRow("config", config(), 1), verified=True
         )
-        self.book = engine_book.EngineTracker()
+        self.tracker = engine_book.EngineTracker()
         self.paths = path_choice.create_path_chooser(
-            self.book, random.Random(1)
+            self.tracker, random.Random(1)
         )
         self.paths.nodes = size.nodes
         seen = observer.create_relay_observer()
@@ -247,7 +247,7 @@
             rng=random.Random(1),
             catalogue=self.known,
             engines=SilentEngines(),
-            book=self.book,
+            tracker=self.tracker,
             paths=self.paths,
             endpoints=cast("Any", None),
             budget=cast("Any", types.SimpleNamespace(
@@ -257,7 +257,7 @@
                 note_broken=lambda *v: None, is_refused=lambda *v: False
             )),
             lost=lost_engines.create_lost_engines(
-                self.clock, self.known, self.book, seen
+                self.clock, self.known, self.tracker, seen
             ),
             refusing=cast("Any", None),
             observer=seen,
@@ -419,7 +419,7 @@
             await asyncio.sleep(0)
         node.choose()
         costs.append(time.process_time() - start)
-        node.book.clear_suspicion(lost)
+        node.tracker.clear_suspicion(lost)
     return {
         "fault_ms": statistics.median(costs) * MS,
         "moved_by_a_fault": moved / FAULTS,
--- a/src/almondshift/policy/engine_book.py
+++ b/src/almondshift/policy/engine_book.py
@@ -229,7 +229,7 @@
         self.state(instance).no_first_event_until = now + NO_FIRST_EVENT_S
         self.changes += 1
 
-    def is_unheard(self, instance: str, now: float) -> bool:
+    def lacks_first_events(self, instance: str, now: float) -> bool:
         """Returns whether callers lately left without a first event."""
         state = self.states.get(instance)
         return state is not None and state.no_first_event_until > now
--- a/src/almondshift/policy/path_candidates.py
+++ b/src/almondshift/policy/path_candidates.py
@@ -75,9 +75,9 @@
     """
 
     def __init__(
-        self, book: engine_book.EngineTracker, rng: random.Random
+        self, tracker: engine_book.EngineTracker, rng: random.Random
     ) -> None:
-        self.book = book
+        self.tracker = tracker
         self.rng = rng
         self.nodes = 1
         self.mean_requests: dict[str, pooled_load.MeanRequests] = {}
@@ -111,7 +111,7 @@
         found = []
         for engine in engines:
             is_kept = engine.instance in kept
-            if self.book.is_full(engine.instance, now) and not is_kept:
+            if self.tracker.is_full(engine.instance, now) and not is_kept:
                 continue
             candidate = self._candidate(engine, view.spec, load)
             if is_kept:
@@ -131,7 +131,7 @@
             yield self.find(view, now, kept, is_sampled=False)
 
     def _live_engines(self, view: FleetView) -> _LiveEngines:
-        version = (view.version, self.book.changes)
+        version = (view.version, self.tracker.changes)
         known = self.live.get(view.service)
         if known is not None and known.version == version:
             return known
@@ -140,7 +140,7 @@
             for engine in view.engines
             if engine.layers is not None
             and not engine.leaving
-            and not self.book.is_suspect(engine.instance)
+            and not self.tracker.is_suspect(engine.instance)
         ]
         holdings = [
             pooled_load.Holding(
@@ -165,7 +165,12 @@
             view.service, pooled_load.MeanRequests()
         )
         return pooled_load.FleetLoad(
-            self.book, shares, view.spec.layers, self.nodes, mean_requests, now
+            self.tracker,
+            shares,
+            view.spec.layers,
+            self.nodes,
+            mean_requests,
+            now,
         )
 
     def _candidate(
@@ -187,7 +192,7 @@
         per_request = spec.step_ms_per_request
         per_request += spec.step_ms_per_kilotoken * context_k
         step_ms = spec.step_ms + per_request * batch
-        pace = self.book.pace(engine.instance, load.now)
+        pace = self.tracker.pace(engine.instance, load.now)
         return path_search.Candidate(
             instance=engine.instance,
             address=engine.address,
@@ -205,7 +210,7 @@
         """Returns by which factor estimated memory use may exceed capacity."""
         return (
             1.0
-            if self.book.has_fresh_report(instance, now)
+            if self.tracker.has_fresh_report(instance, now)
             else ESTIMATE_TOLERANCE
         )
 
--- a/src/almondshift/policy/path_choice.py
+++ b/src/almondshift/policy/path_choice.py
@@ -92,11 +92,11 @@
     """
 
     def __init__(
-        self, book: engine_book.EngineTracker, rng: random.Random
+        self, tracker: engine_book.EngineTracker, rng: random.Random
     ) -> None:
-        self.book = book
+        self.tracker = tracker
         self.rng = rng
-        self.candidates = path_candidates.PathCandidates(book, rng)
+        self.candidates = path_candidates.PathCandidates(tracker, rng)
         self.nearly_full: dict[str, str] = {}
         self.cached: dict[str, _CachedPaths] = {}
 
@@ -213,7 +213,9 @@
         if start is None:
             return None
         part = path_search.FoundPart(start, first.start, first.end)
-        fast = [c for c in candidates if not self.book.is_slow(c.instance, now)]
+        fast = [
+            c for c in candidates if not self.tracker.is_slow(c.instance, now)
+        ]
         for usable in (fast, candidates):
             found = path_search.find_path(
                 usable, view.spec.layers, tokens, first=part, kept=kept
@@ -225,7 +227,7 @@
     def _current_paths(
         self, view: path_candidates.FleetView, now: float
     ) -> list[path_search.FoundPath]:
-        version = (view.version, self.book.changes)
+        version = (view.version, self.tracker.changes)
         kept = self.cached.get(view.service)
         if (
             kept is not None
@@ -245,8 +247,8 @@
             preferred = [
                 c
                 for c in candidates
-                if not self.book.is_slow(c.instance, now)
-                and not self.book.is_unheard(c.instance, now)
+                if not self.tracker.is_slow(c.instance, now)
+                and not self.tracker.lacks_first_events(c.instance, now)
             ]
             paths = zone_paths.find_paths(
                 candidates, preferred, view.spec.layers, tokens
@@ -337,7 +339,7 @@
 
 
 def create_path_chooser(
-    book: engine_book.EngineTracker, rng: random.Random
+    tracker: engine_book.EngineTracker, rng: random.Random
 ) -> PathChooser:
     """Creates a chooser that uses the given engine states."""
-    return PathChooser(book, rng)
+    return PathChooser(tracker, rng)
--- a/src/almondshift/policy/pooled_load.py
+++ b/src/almondshift/policy/pooled_load.py
@@ -160,19 +160,19 @@
 
     def __init__(
         self,
-        book: engine_book.EngineTracker,
+        tracker: engine_book.EngineTracker,
         shares: Mapping[str, EngineShare],
         layers: int,
         nodes: int,
         mean_requests: MeanRequests,
         now: float,
     ) -> None:
-        self.book = book
+        self.tracker = tracker
         self.shares = shares
         self.layers = layers
         self.nodes = nodes
         self.now = now
-        states = [book.states[i] for i in shares if i in book.states]
+        states = [tracker.states[i] for i in shares if i in tracker.states]
         self.own_tokens = sum(s.layer_tokens for s in states) / layers
         self.own_requests = sum(s.first_running for s in states)
         self.mean_requests = mean_requests
@@ -185,17 +185,17 @@
         next request to engines on which it has none. By pooled load alone,
         equal engines look the same and all nodes would choose the cheapest.
         """
-        state = self.book.states.get(instance)
+        state = self.tracker.states.get(instance)
         return state.layer_tokens * self.nodes / room if state else 0.0
 
     def own_running(self, instance: str) -> float:
         """Returns an engine's requests if all nodes had as many as this one."""
-        state = self.book.states.get(instance)
+        state = self.tracker.states.get(instance)
         return state.running * self.nodes if state else 0.0
 
     def running(self, instance: str) -> float:
         """Returns an engine's requests, estimated from this node's mean."""
-        state = self.book.states.get(instance)
+        state = self.tracker.states.get(instance)
         here = state.running if state else 0
         share = self._share(instance).running
         return fleet_total(here, self.mean_requests.mean, share, self.nodes)
@@ -222,7 +222,7 @@
 
     def own_first(self, instance: str) -> int:
         """Returns this node's requests whose first engine this is."""
-        state = self.book.states.get(instance)
+        state = self.tracker.states.get(instance)
         return state.first_running if state else 0
 
     def used(self, instance: str, held: int) -> float:
@@ -232,12 +232,12 @@
             instance: The engine.
             held: Number of layers that it holds.
         """
-        state = self.book.states.get(instance)
+        state = self.tracker.states.get(instance)
         here = state.layer_tokens if state else 0.0
         share = self._share(instance).running * held
         estimate = fleet_total(here, self.own_tokens, share, self.nodes)
         counted_nodes = self.nodes if self.nodes <= MANY_NODES else 1
-        return self.book.used(instance, estimate, counted_nodes, self.now)
+        return self.tracker.used(instance, estimate, counted_nodes, self.now)
 
     def _share(self, instance: str) -> EngineShare:
         return self.shares.get(instance, NO_SHARE)
--- a/src/almondshift/relay/application.py
+++ b/src/almondshift/relay/application.py
@@ -137,7 +137,7 @@
         self.settings = settings
         self.ports = ports
         self.catalogue = catalogue.Catalogue(ports.decoders, ports.config_key)
-        self.book = engine_book.EngineTracker()
+        self.tracker = engine_book.EngineTracker()
         self.feed = shared_feed.create_shared_feed(
             ports.feed, ports.clock, ports.rng
         )
@@ -148,7 +148,7 @@
         repeats = settings.repeats
         relay_observer = observer.create_relay_observer()
         lost = lost_engines.create_lost_engines(
-            ports.clock, self.catalogue, self.book, relay_observer
+            ports.clock, self.catalogue, self.tracker, relay_observer
         )
         self.shared = context.RelayContext(
             zone=settings.node.zone,
@@ -156,8 +156,8 @@
             rng=ports.rng,
             catalogue=self.catalogue,
             engines=ports.engines,
-            book=self.book,
-            paths=path_choice.create_path_chooser(self.book, ports.rng),
+            tracker=self.tracker,
+            paths=path_choice.create_path_chooser(self.tracker, ports.rng),
             endpoints=endpoint_choice.EndpointChooser(ports.rng),
             budget=repeat_budget.RepeatBudget(
                 repeat_budget.RepeatLimits(
@@ -168,7 +168,7 @@
             crashes=crash_watch.create_crash_watch(ports.clock),
             lost=lost,
             refusing=refusing_engines.create_refusing_engines(
-                ports.clock, self.catalogue, self.book, ports.engines, lost
+                ports.clock, self.catalogue, self.tracker, ports.engines, lost
             ),
             observer=relay_observer,
             times=answer_times.create_answer_times(),
@@ -405,7 +405,7 @@
         self.silence.forget(engine.instance)
         self.shared.refusing.forget(engine.instance)
         self.shared.crashes.endpoint_gone(engine.instance, engine.leaving)
-        self.book.forget(engine.instance)
+        self.tracker.forget(engine.instance)
         self.shared.endpoints.forget(engine.instance)
         if self.catalogue.by_address(engine.address) is None:
             self.ports.engines.forget(engine.address)
--- a/src/almondshift/relay/context.py
+++ b/src/almondshift/relay/context.py
@@ -44,7 +44,7 @@
     rng: random.Random
     catalogue: catalogue.Catalogue
     engines: path_engines.PathEngines
-    book: engine_book.EngineTracker
+    tracker: engine_book.EngineTracker
     paths: path_choice.PathChooser
     endpoints: endpoint_choice.EndpointChooser
     budget: repeat_budget.RepeatBudget
--- a/src/almondshift/relay/engine_questions.py
+++ b/src/almondshift/relay/engine_questions.py
@@ -82,7 +82,7 @@
         known = self.shared.catalogue.engines.get(instance)
         if known is None or known.born_ms == report.born_ms:
             return report
-        if known.born_ms < report.born_ms and not self.shared.book.is_lost(
+        if known.born_ms < report.born_ms and not self.shared.tracker.is_lost(
             instance
         ):
             log_events.emit(
@@ -99,7 +99,7 @@
     def query_due(self) -> None:
         """Queries slow, nearly full and suspect engines that are due."""
         now = self.shared.clock.monotonic()
-        for instance in self.shared.book.slow_engines(now):
+        for instance in self.shared.tracker.slow_engines(now):
             engine = self.shared.catalogue.engines.get(instance)
             if engine is not None:
                 self.query_pace(
@@ -122,9 +122,9 @@
         if report is None:
             return
         now = self.shared.clock.monotonic()
-        was_slow = self.shared.book.is_slow(instance, now)
-        self.shared.book.note_pace(instance, report.pace, now)
-        if self.shared.book.is_slow(instance, now) and not was_slow:
+        was_slow = self.shared.tracker.is_slow(instance, now)
+        self.shared.tracker.note_pace(instance, report.pace, now)
+        if self.shared.tracker.is_slow(instance, now) and not was_slow:
             self.moves.engine_slow(instance, report.pace)
 
     def query_nearly_full(self) -> None:
@@ -153,17 +153,17 @@
             self.moves.engine_lost(instance, engine_book.Suspicion.UNREACHABLE)
             return
         now = self.shared.clock.monotonic()
-        self.shared.book.note_used(instance, report.used, now)
-        self.shared.book.note_pace(instance, report.pace, now)
+        self.shared.tracker.note_used(instance, report.used, now)
+        self.shared.tracker.note_pace(instance, report.pace, now)
 
     def query_suspects(self, now: float) -> None:
         """Queries suspects whose ejection time is over."""
-        for instance in self.shared.book.due_for_trial(now):
+        for instance in self.shared.tracker.due_for_trial(now):
             engine = self.shared.catalogue.engines.get(instance)
             if engine is None:
-                self.shared.book.forget(instance)
+                self.shared.tracker.forget(instance)
                 continue
-            state = self.shared.book.state(instance)
+            state = self.shared.tracker.state(instance)
             drains = state.reason is engine_book.Suspicion.DRAINING
             gap_s = engine_book.SUSPECT_S if drains else SUSPECT_QUERY_GAP_S
             state.suspect_until = now + gap_s
@@ -180,7 +180,7 @@
             is_back = report is not None
         if not is_back:
             return
-        self.shared.book.clear_suspicion(engine.instance)
+        self.shared.tracker.clear_suspicion(engine.instance)
         self.shared.observer.emit(
             log_events.EndpointRestored(engine.instance, engine_book.SUSPECT_S)
         )
--- a/src/almondshift/relay/layer_keeper.py
+++ b/src/almondshift/relay/layer_keeper.py
@@ -185,7 +185,7 @@
             kind = view.spec.kinds.get(engine.kind)
             if kind is None or engine.leaving:
                 continue
-            if self.shared.book.is_suspect(engine.instance):
+            if self.shared.tracker.is_suspect(engine.instance):
                 continue
             found.append(
                 self.planned_engine(
@@ -194,7 +194,9 @@
                         engine.zone,
                         kind.memory_mb,
                         engine.layers,
-                        is_slow=self.shared.book.is_slow(engine.instance, now),
+                        is_slow=self.shared.tracker.is_slow(
+                            engine.instance, now
+                        ),
                         step_factor=kind.step_factor,
                     ),
                     now,
--- a/src/almondshift/relay/lost_engines.py
+++ b/src/almondshift/relay/lost_engines.py
@@ -53,12 +53,12 @@
         self,
         clock: clocks.Clock,
         registry: catalogue.Catalogue,
-        book: engine_book.EngineTracker,
+        tracker: engine_book.EngineTracker,
         relay_observer: observer.RelayObserver,
     ) -> None:
         self.clock = clock
         self.catalogue = registry
-        self.book = book
+        self.tracker = tracker
         self.observer = relay_observer
         self.group: relay_group.Group | None = None
         self.on_peer_report: Callable[
@@ -82,7 +82,7 @@
             instance
         ):
             reason = engine_book.Suspicion.DRAINING
-        if not self.book.suspect(instance, reason, self.clock.monotonic()):
+        if not self.tracker.suspect(instance, reason, self.clock.monotonic()):
             return
         self.observer.emit(
             log_events.EndpointEjected(
@@ -101,7 +101,7 @@
         """Handles a peer's fact about an engine."""
         if fact is None or self.group is None:
             return
-        if fact.origin == self.group.name or self.book.is_lost(key):
+        if fact.origin == self.group.name or self.tracker.is_lost(key):
             return
         engine = self.catalogue.engines.get(key)
         if engine is not None:
@@ -111,8 +111,8 @@
 def create_lost_engines(
     clock: clocks.Clock,
     registry: catalogue.Catalogue,
-    book: engine_book.EngineTracker,
+    tracker: engine_book.EngineTracker,
     relay_observer: observer.RelayObserver,
 ) -> LostEngines:
     """Creates an exchange of dead engines; ``join`` connects it to peers."""
-    return LostEngines(clock, registry, book, relay_observer)
+    return LostEngines(clock, registry, tracker, relay_observer)
--- a/src/almondshift/relay/path_probe.py
+++ b/src/almondshift/relay/path_probe.py
@@ -130,7 +130,7 @@
             for _, attempt in silent
             for part in attempt.path
             if part.instance not in alive
-            and not self.shared.book.is_lost(part.instance)
+            and not self.shared.tracker.is_lost(part.instance)
         }
 
     async def probe(self, parts: dict[str, relayed.PathPart]) -> None:
@@ -187,7 +187,7 @@
         if self.loop.time() - self.started_at > limit_s:
             return
         self.moves.engine_lost(part.instance, engine_book.Suspicion.UNREACHABLE)
-        if self.shared.book.is_lost(part.instance):
+        if self.shared.tracker.is_lost(part.instance):
             self.lost.append(part.instance)
 
     async def answers(self, part: relayed.PathPart) -> bool:
@@ -214,7 +214,7 @@
         if report is None:
             return False
         now = self.shared.clock.monotonic()
-        self.shared.book.note_pace(part.instance, report.pace, now)
+        self.shared.tracker.note_pace(part.instance, report.pace, now)
         return True
 
     async def is_own_link_up(self) -> bool:
--- a/src/almondshift/relay/plain_run.py
+++ b/src/almondshift/relay/plain_run.py
@@ -120,7 +120,7 @@
             for e in self.shared.catalogue.of_service(self.routed.service)
             if not e.leaving
             and e.instance not in self.tried
-            and not self.shared.book.is_suspect(e.instance)
+            and not self.shared.tracker.is_suspect(e.instance)
         ]
 
     def start_slow_timer(self) -> None:
@@ -201,7 +201,9 @@
         instance = attempt.endpoint.instance
         now = self.shared.clock.monotonic()
         if head.status == 421:
-            self.shared.book.suspect(instance, engine_book.Suspicion.GONE, now)
+            self.shared.tracker.suspect(
+                instance, engine_book.Suspicion.GONE, now
+            )
         self.shared.endpoints.failed(instance, now)
         self.retry_or_end(
             attempt, f"refused with {head.status}", is_not_run=True
--- a/src/almondshift/relay/refusing_engines.py
+++ b/src/almondshift/relay/refusing_engines.py
@@ -48,13 +48,13 @@
         self,
         clock: clocks.Clock,
         registry: catalogue.Catalogue,
-        book: engine_book.EngineTracker,
+        tracker: engine_book.EngineTracker,
         engines: path_engines.PathEngines,
         lost: lost_engines.LostEngines,
     ) -> None:
         self.clock = clock
         self.catalogue = registry
-        self.book = book
+        self.tracker = tracker
         self.engines = engines
         self.lost = lost
         self.checked_at: dict[str, float] = {}
@@ -76,7 +76,11 @@
     def check(self, instance: str) -> None:
         """Starts a check unless one was started recently."""
         engine = self.catalogue.engines.get(instance)
-        if engine is None or engine.leaving or self.book.is_suspect(instance):
+        if (
+            engine is None
+            or engine.leaving
+            or self.tracker.is_suspect(instance)
+        ):
             return
         now = self.clock.monotonic()
         if now - self.checked_at.get(instance, -math.inf) < CHECK_GAP_S:
@@ -92,7 +96,7 @@
         """Ejects an engine if its health check fails."""
         if await self.is_healthy(engine) is not False:
             return
-        if not self.book.is_suspect(engine.instance):
+        if not self.tracker.is_suspect(engine.instance):
             reason = engine_book.Suspicion.DRAINING
             self.lost.suspect(engine.instance, reason)
 
@@ -116,9 +120,9 @@
 def create_refusing_engines(
     clock: clocks.Clock,
     registry: catalogue.Catalogue,
-    book: engine_book.EngineTracker,
+    tracker: engine_book.EngineTracker,
     engines: path_engines.PathEngines,
     lost: lost_engines.LostEngines,
 ) -> RefusingEngines:
     """Creates the checks; they report draining engines to ``lost``."""
-    return RefusingEngines(clock, registry, book, engines, lost)
+    return RefusingEngines(clock, registry, tracker, engines, lost)
--- a/src/almondshift/relay/silence_watch.py
+++ b/src/almondshift/relay/silence_watch.py
@@ -145,7 +145,7 @@
             return
         self.unanswered.pop(first.instance, None)
         now = self.shared.clock.monotonic()
-        self.shared.book.note_pace(first.instance, report.pace, now)
+        self.shared.tracker.note_pace(first.instance, report.pace, now)
         addresses = {stalled.address for stalled in report.stalled}
         for address in addresses:
             engine = self.shared.catalogue.by_address(address)
--- a/src/almondshift/relay/status.py
+++ b/src/almondshift/relay/status.py
@@ -68,8 +68,8 @@
     engine: registered_engines.RegisteredEngine,
     now: float,
 ) -> dict[str, Any]:
-    book = node.shared.book
-    state = book.states.get(engine.instance)
+    tracker = node.shared.tracker
+    state = tracker.states.get(engine.instance)
     layers = engine.layers
     return {
         "name": engine.instance,
@@ -79,7 +79,7 @@
         "leaving": engine.leaving,
         "layers": f"{layers.start}-{layers.end}" if layers else "",
         "suspect": state.reason if state and state.reason else "",
-        "pace": round(book.pace(engine.instance, now), 1),
+        "pace": round(tracker.pace(engine.instance, now), 1),
         "own_requests": state.running if state else 0,
     }
 
--- a/src/almondshift/relay/stream_moves.py
+++ b/src/almondshift/relay/stream_moves.py
@@ -65,7 +65,7 @@
     def engine_lost(self, instance: str, reason: engine_book.Suspicion) -> None:
         """Ejects an engine that seems dead, and moves all streams off it."""
         self.shared.lost.suspect(instance, reason)
-        if not self.shared.book.is_lost(instance):
+        if not self.shared.tracker.is_lost(instance):
             return
         for run in self.streams():
             attempt = run.attempt
--- a/src/almondshift/relay/stream_run.py
+++ b/src/almondshift/relay/stream_run.py
@@ -146,7 +146,7 @@
         self.sends += 1
         attempt = stream_attempt.StreamAttempt(self, chosen)
         self.attempt = attempt
-        self.shared.book.add(attempt.used, self.tokens)
+        self.shared.tracker.add(attempt.used, self.tokens)
         self.note_forwarded(
             format_path(chosen.path),
             ",".join(part.instance for part in chosen.path),
@@ -328,7 +328,7 @@
         dead.
         """
         now = self.shared.clock.monotonic()
-        self.shared.book.note_full(instance, now)
+        self.shared.tracker.note_full(instance, now)
         self.shared.paths.nearly_full[instance] = address
         self.shared.refusing.check(instance)
 
@@ -346,7 +346,7 @@
         """
         if is_not_run:
             self.unrefused_sends -= 1
-        elif not self.shared.book.is_lost(attempt.first.instance):
+        elif not self.shared.tracker.is_lost(attempt.first.instance):
             self.possible_runs += 1
         allowed = self.may_repeat(is_not_run)
         waits = not allowed and self.may_wait_for_capacity(is_not_run)
@@ -495,9 +495,9 @@
             path_engines.OrderOutcome.DONE,
             path_engines.OrderOutcome.BEGUN,
         ):
-            self.shared.book.remove(attempt.used, self.tokens)
+            self.shared.tracker.remove(attempt.used, self.tokens)
             attempt.path, attempt.used = chosen.path, chosen.used
-            self.shared.book.add(attempt.used, self.tokens)
+            self.shared.tracker.add(attempt.used, self.tokens)
             attempt.active_at = self.loop.time()
         if refused_by:
             self.note_refused(refused_by, answer.faulty_address)
@@ -549,7 +549,7 @@
         waited_s = self.loop.time() - attempt.sent_at
         if waited_s >= NO_EVENT_SHARE * self.routed.route.abandon_after_s:
             now = self.shared.clock.monotonic()
-            self.shared.book.note_no_first_event(attempt.first.instance, now)
+            self.shared.tracker.note_no_first_event(attempt.first.instance, now)
 
     def release_attempt(self) -> None:
         """Drops the current attempt and its load in the engine tracker."""
@@ -558,7 +558,7 @@
         if self.first_event_timer is not None:
             self.first_event_timer.cancel()
         if attempt is not None:
-            self.shared.book.remove(attempt.used, self.tokens)
+            self.shared.tracker.remove(attempt.used, self.tokens)
 
     def cancel_work(self) -> None:
         """Cancels the work of engines."""
--- a/tests/platform/test_draining_engines.py
+++ b/tests/platform/test_draining_engines.py
@@ -33,15 +33,20 @@
     async def scenario() -> None:
         async with system.running_system(nodes=3) as running:
             await running.meet()
-            books = [process.node.shared.book for process in running.nodes]
+            trackers = [
+                process.node.shared.tracker for process in running.nodes
+            ]
             running.engines[drained].is_draining = True
             for number in range(REQUESTS):
                 await whole.chat(running, f"r{number}")
-                if books[0].is_suspect(drained):
+                if trackers[0].is_suspect(drained):
                     break
                 await asyncio.sleep(0.05)
             await running.until(
-                lambda: all(book.is_suspect(drained) for book in books), 1.5
+                lambda: all(
+                    tracker.is_suspect(drained) for tracker in trackers
+                ),
+                1.5,
             )
             before = offered_requests(running, drained)
             for number in range(REQUESTS):
@@ -63,8 +68,8 @@
             for engine in running.engines.values():
                 engine.is_full = False
             await asyncio.sleep(2 * engine_book.FULL_S)
-            book = running.nodes[0].node.shared.book
-            assert not any(book.is_suspect(name) for name in running.engines)
+            tracker = running.nodes[0].node.shared.tracker
+            assert not any(tracker.is_suspect(name) for name in running.engines)
             assert (await whole.chat(running, "r2"))[0] == 200
 
     asyncio.run(scenario())
@@ -83,7 +88,7 @@
             await running.until(lambda: whole.times_run(running, "r1") == 1)
             running.engines["a1"].is_draining = True
             await whole.chat(running, "r2")
-            await running.until(lambda: shared.book.is_suspect("a1"), 1.0)
+            await running.until(lambda: shared.tracker.is_suspect("a1"), 1.0)
             status, _, body = await stream
             assert (status, whole.tokens(body)) == (200, whole.WHOLE)
             assert not moves
@@ -100,7 +105,7 @@
             await running.meet()
             for engine in running.engines.values():
                 engine.events, engine.gap_s = 80, 0.02
-            books = [node.node.shared.book for node in running.nodes]
+            trackers = [node.node.shared.tracker for node in running.nodes]
             streams = [
                 asyncio.create_task(whole.chat(running, f"r{i}", node=i % 2))
                 for i in range(6)
@@ -117,10 +122,13 @@
                 for i in range(16)
             ]
             await running.until(
-                lambda: all(b.is_suspect(closing.instance) for b in books), 1.0
+                lambda: all(b.is_suspect(closing.instance) for b in trackers),
+                1.0,
             )
             # It may be considered dead only once its streams have ended.
-            assert not any(book.is_lost(closing.instance) for book in books)
+            assert not any(
+                tracker.is_lost(closing.instance) for tracker in trackers
+            )
             for i, stream in enumerate(streams):
                 status, _, body = await stream
                 assert status == 200
@@ -136,13 +144,13 @@
 
     async def scenario() -> None:
         async with system.running_system(zones="a") as running:
-            book = running.nodes[0].node.shared.book
+            tracker = running.nodes[0].node.shared.tracker
             running.engines["a1"].is_draining = True
             await whole.chat(running, "r1")
-            await running.until(lambda: book.is_suspect("a1"), 1.0)
+            await running.until(lambda: tracker.is_suspect("a1"), 1.0)
             running.engines["a1"].is_draining = False
-            book.state("a1").suspect_until = 0.0
-            await running.until(lambda: not book.is_suspect("a1"), 1.0)
+            tracker.state("a1").suspect_until = 0.0
+            await running.until(lambda: not tracker.is_suspect("a1"), 1.0)
             await asyncio.sleep(engine_book.FULL_S)
             assert (await whole.chat(running, "r2"))[0] == 200
 
@@ -173,7 +181,7 @@
             )
             running.engines[lost.instance].is_dead = True
             await running.until(
-                lambda: node.shared.book.is_suspect("spare"), 2.0
+                lambda: node.shared.tracker.is_suspect("spare"), 2.0
             )
             assert not spare.ran
             stream.cancel()
--- a/tests/platform/test_lost_answers.py
+++ b/tests/platform/test_lost_answers.py
@@ -72,8 +72,8 @@
             await running.until(lambda: whole.times_run(running, "r1") == 2)
             await asyncio.sleep(2 * OBJECTIVE_S)
             assert whole.times_run(running, "r1") == 2
-            book = running.nodes[0].node.shared.book
-            assert not any(book.is_suspect(name) for name in running.engines)
+            tracker = running.nodes[0].node.shared.tracker
+            assert not any(tracker.is_suspect(name) for name in running.engines)
             answer.cancel()
 
     asyncio.run(scenario())
--- a/tests/platform/test_restarted_engines.py
+++ b/tests/platform/test_restarted_engines.py
@@ -130,18 +130,21 @@
             await publish_starts(running)
             shared = running.nodes[0].node.shared
             before_restart = f"a1@{FIRST_START}"
-            shared.book.note_pace(before_restart, 9.0, shared.clock.monotonic())
-            shared.book.state(before_restart).layer_tokens = 1e9
+            shared.tracker.note_pace(
+                before_restart, 9.0, shared.clock.monotonic()
+            )
+            shared.tracker.state(before_restart).layer_tokens = 1e9
             await running.engines["a1"].restart()
             after_restart = f"a1@{FIRST_START + 1_000}"
             await running.until(
                 lambda: after_restart in shared.catalogue.engines
             )
-            assert before_restart not in shared.book.states
-            assert not shared.book.is_suspect(after_restart)
+            assert before_restart not in shared.tracker.states
+            assert not shared.tracker.is_suspect(after_restart)
             assert (
-                shared.book.pace(after_restart, shared.clock.monotonic()) == 1.0
+                shared.tracker.pace(after_restart, shared.clock.monotonic())
+                == 1.0
             )
-            assert shared.book.state(after_restart).layer_tokens == 0.0
+            assert shared.tracker.state(after_restart).layer_tokens == 0.0
 
     asyncio.run(scenario())
--- a/tests/platform/test_restarts_and_clocks.py
+++ b/tests/platform/test_restarts_and_clocks.py
@@ -210,7 +210,9 @@
         async with system.running_system(nodes=2) as running:
             shared = running.nodes[1].node.shared
             now = shared.clock.monotonic()
-            shared.book.suspect("a1", whole.engine_book.Suspicion.STALLED, now)
+            shared.tracker.suspect(
+                "a1", whole.engine_book.Suspicion.STALLED, now
+            )
             addresses = [p.settings.metrics.address for p in running.nodes]
             client = console_nodes.create_client(
                 argparse.Namespace(), needs_secret=False
--- a/tests/platform/test_unheard_engines.py
+++ b/tests/platform/test_unheard_engines.py
@@ -36,6 +36,6 @@
             stream.cancel()
             await running.until(lambda: not shared.running)
             now = shared.clock.monotonic()
-            assert shared.book.is_unheard(first, now) is is_avoided
+            assert shared.tracker.lacks_first_events(first, now) is is_avoided
 
     asyncio.run(scenario())
--- a/tests/policy/test_capacity_shares.py
+++ b/tests/policy/test_capacity_shares.py
@@ -96,14 +96,14 @@
         now = step / PER_S
         while ends and ends[0][0] <= now:
             _, node, chosen = heapq.heappop(ends)
-            nodes[node].book.remove(chosen.used, fleets.TOKENS)
+            nodes[node].tracker.remove(chosen.used, fleets.TOKENS)
             running[chosen.path[0].instance] -= 1
         node = rng.randrange(NODES)
         taken = nodes[node].choose(view, fleets.TOKENS, now)
         if taken is None:
             refused += 1
             continue
-        nodes[node].book.add(taken.used, fleets.TOKENS)
+        nodes[node].tracker.add(taken.used, fleets.TOKENS)
         first = taken.path[0].instance
         running[first] = running.get(first, 0) + 1
         most = max(most, running[first])
--- a/tests/policy/test_group_size.py
+++ b/tests/policy/test_group_size.py
@@ -57,7 +57,7 @@
         for _ in range(callers):
             chosen = chooser.choose(_view(), fleets.TOKENS, 0.2)
             assert chosen is not None
-            chooser.book.add(chosen.used, fleets.TOKENS)
+            chooser.tracker.add(chosen.used, fleets.TOKENS)
             first = chosen.path[0].instance
             firsts[first] = firsts.get(first, 0) + 1
     assert sum(firsts.values()) == NODES * callers
--- a/tests/policy/test_path_choice.py
+++ b/tests/policy/test_path_choice.py
@@ -35,8 +35,8 @@
 
 
 def _chooser(nodes: int = 7) -> path_choice.PathChooser:
-    book = engine_book.EngineTracker()
-    chooser = path_choice.create_path_chooser(book, random.Random(1))
+    tracker = engine_book.EngineTracker()
+    chooser = path_choice.create_path_chooser(tracker, random.Random(1))
     chooser.nodes = nodes
     return chooser
 
@@ -44,9 +44,9 @@
 def _report_memory(chooser: path_choice.PathChooser, now: float) -> None:
     """Reports memory of the engines that the chooser wants to query."""
     for instance in chooser.nearly_full:
-        used = chooser.book.state(instance).layer_tokens * chooser.nodes
+        used = chooser.tracker.state(instance).layer_tokens * chooser.nodes
         reported = used / engine_book.MEMORY_GROWTH
-        chooser.book.note_used(instance, reported, now)
+        chooser.tracker.note_used(instance, reported, now)
     chooser.nearly_full.clear()
 
 
@@ -69,7 +69,7 @@
         chosen = chooser.choose(view, TOKENS, 0.0)
         if chosen is None:
             break
-        chooser.book.add(chosen.used, TOKENS)
+        chooser.tracker.add(chosen.used, TOKENS)
         zones[chosen.zone] = zones.get(chosen.zone, 0) + 1
         if is_answering:
             _report_memory(chooser, 0.0)
@@ -86,12 +86,12 @@
     chooser = _chooser()
     view = _view(leaving="a1" if fault == "leaving" else "")
     if fault == "suspect":
-        chooser.book.suspect("a1", engine_book.Suspicion.STALLED, 0.0)
+        chooser.tracker.suspect("a1", engine_book.Suspicion.STALLED, 0.0)
     for _ in range(20):
         chosen = chooser.choose(view, TOKENS, 0.0)
         assert chosen is not None
         assert all(part.instance != "a1" for part in chosen.path)
-        chooser.book.add(chosen.used, TOKENS)
+        chooser.tracker.add(chosen.used, TOKENS)
 
 
 def test_requests_avoid_the_zone_of_a_slow_engine() -> None:
@@ -100,7 +100,7 @@
     Its zone then costs more than the others, and new requests go to those.
     """
     chooser = _chooser()
-    chooser.book.note_pace("a1", 12.0, 0.0)
+    chooser.tracker.note_pace("a1", 12.0, 0.0)
     zones = [chooser.choose(_view(), TOKENS, 0.0) for _ in range(20)]
     assert all(c is not None and c.zone != "a" for c in zones)
 
@@ -115,7 +115,7 @@
         ),
         0.0,
     ).path  # fmt: skip
-    chooser.book.suspect("a2", engine_book.Suspicion.STALLED, 0.0)
+    chooser.tracker.suspect("a2", engine_book.Suspicion.STALLED, 0.0)
     moved = chooser.move(view, path, TOKENS, 0.0)
     assert moved is not None
     assert moved.path[0] == path[0]
@@ -127,9 +127,9 @@
     chooser = _chooser()
     chosen = chooser.choose(_view(), TOKENS, 0.0)
     assert chosen is not None
-    chooser.book.add(chosen.used, TOKENS)
-    chooser.book.remove(chosen.used, TOKENS)
-    for state in chooser.book.states.values():
+    chooser.tracker.add(chosen.used, TOKENS)
+    chooser.tracker.remove(chosen.used, TOKENS)
+    for state in chooser.tracker.states.values():
         assert (state.running, state.first_running) == (0, 0)
         assert state.layer_tokens == 0
 
@@ -142,14 +142,14 @@
     """
     chooser = _chooser()
     for name in ("a0", "b1", "c2"):
-        chooser.book.note_pace(name, 12.0, 0.0)
+        chooser.tracker.note_pace(name, 12.0, 0.0)
     for _ in range(10):
         chosen = chooser.choose(_view(), TOKENS, 0.0)
         assert chosen is not None
         used = {part.instance for part in chosen.path}
         assert not used & {"a0", "b1", "c2"}
     for name in ("a1", "c1"):
-        chooser.book.note_pace(name, 12.0, 0.0)
+        chooser.tracker.note_pace(name, 12.0, 0.0)
     assert chooser.choose(_view(), TOKENS, 0.0) is not None
 
 
@@ -173,14 +173,14 @@
     for _ in range(36):
         chosen = chooser.choose(view, TOKENS, 0.0)
         assert chosen is not None
-        chooser.book.add(chosen.used, TOKENS)
+        chooser.tracker.add(chosen.used, TOKENS)
     assert len(chooser.nearly_full) == len(view.engines)
     for engine in view.engines:
         room = SPEC.layer_token_capacity("k", 20)
-        chooser.book.note_used(engine.instance, room * 0.4, 1.0)
+        chooser.tracker.note_used(engine.instance, room * 0.4, 1.0)
     admitted = 0
     while (chosen := chooser.choose(view, TOKENS, 1.1)) is not None:
-        chooser.book.add(chosen.used, TOKENS)
+        chooser.tracker.add(chosen.used, TOKENS)
         admitted += 1
     # The first engine of each zone takes two more in addition to eleven.
     assert admitted == 6
@@ -226,8 +226,8 @@
     chooser = _chooser()
     for second in range(3):
         for zone in "abc":
-            chooser.book.note_no_first_event(f"{zone}0", float(second))
-        chooser.book.state("b0").no_first_event_until = 0.0
+            chooser.tracker.note_no_first_event(f"{zone}0", float(second))
+        chooser.tracker.state("b0").no_first_event_until = 0.0
         chosen = chooser.choose(_view(), TOKENS, float(second))
         assert chosen is not None
         assert chosen.path[0].instance == "b0"
@@ -236,7 +236,7 @@
     for _ in range(20):
         chosen = chooser.choose(_view(), TOKENS, later)
         assert chosen is not None
-        chooser.book.add(chosen.used, TOKENS)
+        chooser.tracker.add(chosen.used, TOKENS)
         firsts.add(chosen.path[0].instance)
     assert firsts == {"a0", "b0", "c0"}
 
@@ -245,5 +245,5 @@
     """Under overload callers leave all chains, and each is better than none."""
     chooser = _chooser()
     for zone in "abc":
-        chooser.book.note_no_first_event(f"{zone}0", 0.0)
+        chooser.tracker.note_no_first_event(f"{zone}0", 0.0)
     assert chooser.choose(_view(), TOKENS, 0.1) is not None
--- a/tests/policy/test_path_refresh.py
+++ b/tests/policy/test_path_refresh.py
@@ -64,7 +64,7 @@
     chosen = chooser.choose(view, small.TOKENS, 0.0)
     assert chosen is not None
     lost = chosen.path[0].instance
-    chooser.book.suspect(lost, engine_book.Suspicion.UNREACHABLE, 0.0)
+    chooser.tracker.suspect(lost, engine_book.Suspicion.UNREACHABLE, 0.0)
     again = chooser.choose(view, small.TOKENS, 0.01)
     assert again is not None
     assert all(part.instance != lost for part in again.path)
--- a/tests/policy/test_pooled_load.py
+++ b/tests/policy/test_pooled_load.py
@@ -69,13 +69,13 @@
 
     Load: two equal engines; half of a node's requests went to the first.
     """
-    book = engine_book.EngineTracker()
+    tracker = engine_book.EngineTracker()
     for number in range(sent):
         here = "a" if number % 2 == 0 or nodes == 8 else "b"
-        book.add((engine_book.UsedPart(here, 4),), 100.0)
+        tracker.add((engine_book.UsedPart(here, 4),), 100.0)
     shares = dict.fromkeys("ab", pooled_load.EngineShare(0.5, 0.5))
     load = pooled_load.FleetLoad(
-        book, shares, 4, nodes, pooled_load.MeanRequests(), 0.0
+        tracker, shares, 4, nodes, pooled_load.MeanRequests(), 0.0
     )
     assert load.first_after_next("a") == soon
 
@@ -98,7 +98,7 @@
             if chosen is None:
                 refused += 1
             elif number < 3:
-                chooser.book.add(chosen.used, fleets.TOKENS)
+                chooser.tracker.add(chosen.used, fleets.TOKENS)
     assert refused == 0
 
 
@@ -117,7 +117,7 @@
         for number in range(60):
             chosen = chooser.choose(fleets._view(), fleets.TOKENS, 0.3 * number)
             if chosen is not None:
-                chooser.book.add(chosen.used, fleets.TOKENS)
+                chooser.tracker.add(chosen.used, fleets.TOKENS)
                 admitted += 1
     room = 3 * fleets.SPEC.layer_token_capacity("k", 20) / 20 / fleets.TOKENS
     assert 0.7 * room <= admitted <= 1.35 * room
--- a/tests/policy/test_thousands_of_engines.py
+++ b/tests/policy/test_thousands_of_engines.py
@@ -53,7 +53,7 @@
     view = large.fleet(COPIES)
     for engine in view.engines:
         if not engine.instance.endswith("-7"):
-            chooser.book.note_full(engine.instance, 0.0)
+            chooser.tracker.note_full(engine.instance, 0.0)
     chosen = chooser.choose(view, small.TOKENS, 0.1)
     assert chosen is not None
     assert all(part.instance.endswith("-7") for part in chosen.path)
@@ -68,11 +68,11 @@
     assert chosen is not None
     lost = chosen.path[2].instance
     spare = lost.split("-")[0] + ("-8" if lost.endswith("-7") else "-7")
-    chooser.book.suspect(lost, engine_book.Suspicion.STALLED, 0.0)
+    chooser.tracker.suspect(lost, engine_book.Suspicion.STALLED, 0.0)
     if others_full:
         for engine in view.engines:
             if engine.instance != spare:
-                chooser.book.note_full(engine.instance, 0.0)
+                chooser.tracker.note_full(engine.instance, 0.0)
     moved = chooser.move(view, chosen.path, small.TOKENS, 0.1)
     assert moved is not None
     assert lost not in {part.instance for part in moved.path}
--- a/tests/relay/test_layer_keeper.py
+++ b/tests/relay/test_layer_keeper.py
@@ -114,7 +114,7 @@
             clock=self.clock,
             catalogue=self.known,
             engines=self.engines,
-            book=engine_book.EngineTracker(),
+            tracker=engine_book.EngineTracker(),
         )
         self.keeper = layer_keeper.create_layer_keeper(
             cast("context.RelayContext", shared),
--- a/tests/relay/test_lost_engines.py
+++ b/tests/relay/test_lost_engines.py
@@ -33,7 +33,7 @@
             dead.is_dead = True
             await dead.close()
             first.lost.suspect("a0", engine_book.Suspicion.UNREACHABLE)
-            await running.until(lambda: second.book.is_suspect("a0"), 1.5)
+            await running.until(lambda: second.tracker.is_suspect("a0"), 1.5)
             sent = [e for e in running.engines.values() if e is not dead]
             assert (await whole.chat(running, "r1", node=1))[0] == 200
             assert sum(e.ran.count("r1") for e in sent) == 1
@@ -61,7 +61,7 @@
                 ),
                 1.5,
             )
-            assert not second.book.is_suspect("a0")
+            assert not second.tracker.is_suspect("a0")
 
     asyncio.run(scenario())
 
@@ -132,7 +132,7 @@
     if is_known:
         lost.catalogue.engines["e"] = object()  # type: ignore[assignment]
     if is_suspect:
-        lost.book.suspect("e", engine_book.Suspicion.STALLED, 0.0)
+        lost.tracker.suspect("e", engine_book.Suspicion.STALLED, 0.0)
     questions = []
     lost.on_peer_report = lambda engine, peer: questions.append(peer)
     fact = peers.Fact(
--- a/tests/relay/test_path_probe.py
+++ b/tests/relay/test_path_probe.py
@@ -104,7 +104,7 @@
 ) -> None:
     """Otherwise streams would be late before their dead engine is found."""
     shared: Any = FakeShared()
-    moves: Any = FakeMoves(shared.book)
+    moves: Any = FakeMoves(shared.tracker)
     questions = FakeQuestions()
     queries: Any = questions
     probed = path_probe.ProbeRound(shared, queries, moves)
@@ -125,7 +125,7 @@
 async def test_a_busy_engine_does_not_delay_the_probe_of_another() -> None:
     """Otherwise streams on a dead engine would wait for another's backoff."""
     shared: Any = FakeShared()
-    moves: Any = FakeMoves(shared.book)
+    moves: Any = FakeMoves(shared.tracker)
     questions: Any = FakeQuestions()
     work = background.Background()
     probe = path_probe.PathProbe(shared, work, moves, questions)
@@ -141,15 +141,15 @@
 
 
 class FakeMoves:
-    def __init__(self, book: engine_book.EngineTracker) -> None:
-        self.book = book
+    def __init__(self, tracker: engine_book.EngineTracker) -> None:
+        self.tracker = tracker
         self.runs: list[FakeRun] = []
 
     def streams(self) -> list[FakeRun]:
         return self.runs
 
     def engine_lost(self, instance: str, reason: engine_book.Suspicion) -> None:
-        self.book.suspect(instance, reason, 0.0)
+        self.tracker.suspect(instance, reason, 0.0)
 
 
 class FakeAttempt:
@@ -175,7 +175,7 @@
 
 class FakeShared:
     def __init__(self) -> None:
-        self.book = engine_book.EngineTracker()
+        self.tracker = engine_book.EngineTracker()
         self.paths = types.SimpleNamespace(nodes=1)
         self.clock = types.SimpleNamespace(monotonic=lambda: 0.0)
 
