--- a/bench/answer_parsers.py
+++ b/bench/answer_parsers.py
@@ -56,7 +56,7 @@
         self.call: http_channels.Call | None = None
         self.done = asyncio.get_running_loop().create_future()
 
-    def on_head(self, head: http_channels.AnswerHead) -> None:
+    def on_head(self, head: http_channels.ResponseHead) -> None:
         """Takes the head."""
 
     def on_data(self, data: bytes) -> None:
@@ -73,7 +73,7 @@
 
 async def read_channels(port: int) -> None:
     """Reads a stream by our client."""
-    pool = http_channels.create_channel_pool()
+    pool = http_channels.create_connection_pool()
     counter = Counter()
     payload = http_channels.request_bytes("POST", "/", [("Host", "h")], b"")
     address = f"127.0.0.1:{port}"
--- a/src/almondshift/adapters/http_channels.py
+++ b/src/almondshift/adapters/http_channels.py
@@ -60,7 +60,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class AnswerHead:
+class ResponseHead:
     """Status and header fields of a response.
 
     Attributes:
@@ -82,7 +82,7 @@
     """Receives the events of a call, in order, on the event loop."""
 
     @abc.abstractmethod
-    def on_head(self, head: AnswerHead) -> None:
+    def on_head(self, head: ResponseHead) -> None:
         """Handles the head of the response."""
 
     @abc.abstractmethod
@@ -141,14 +141,14 @@
 class Connection(asyncio.Protocol):
     """A connection that carries one call at a time."""
 
-    def __init__(self, pool: ChannelPool, address: str) -> None:
+    def __init__(self, pool: ConnectionPool, address: str) -> None:
         self.pool = pool
         self.address = address
         self.transport: asyncio.Transport | None = None
         self.call: Call | None = None
         self.calls = 0
         self.idle_until = 0.0
-        self.head: AnswerHead | None = None
+        self.head: ResponseHead | None = None
         self.head_complete = False
         self.head_bytes = 0
         self.complete = False
@@ -250,7 +250,7 @@
     def on_header(self, name: bytes, value: bytes) -> None:
         """Collects a header field (called by the parser)."""
         if self.head is None:
-            self.head = AnswerHead(0, [])
+            self.head = ResponseHead(0, [])
         key = name.decode("latin-1").lower()
         self.head.headers.append((key, value.decode("latin-1").strip()))
 
@@ -258,7 +258,7 @@
         """Checks the echoed id and passes the head to the listener."""
         call = self.call
         assert self.parser is not None
-        head = self.head or AnswerHead(0, [])
+        head = self.head or ResponseHead(0, [])
         head.status = self.parser.get_status_code()
         self.head = head
         if head.status < 200 or call is None:
@@ -296,7 +296,7 @@
         self.keep_alive = self.parser.should_keep_alive()
 
 
-class ChannelPool:
+class ConnectionPool:
     """A pool of idle connections by address.
 
     Attributes:
@@ -402,13 +402,13 @@
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
-        self.head: AnswerHead | None = None
+        self.head: ResponseHead | None = None
         self.body = bytearray()
         self.ended: asyncio.Future[tuple[Outcome, str]] = (
             asyncio.get_running_loop().create_future()
         )
 
-    def on_head(self, head: AnswerHead) -> None:
+    def on_head(self, head: ResponseHead) -> None:
         """Keeps the head."""
         self.head = head
 
@@ -425,7 +425,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Fetched:
+class FetchResult:
     """The result of ``fetch``.
 
     Attributes:
@@ -436,17 +436,17 @@
     outcome: Outcome
     reason: str
     sent: bool
-    head: AnswerHead | None
+    head: ResponseHead | None
     body: bytes
 
 
 async def fetch(
-    pool: ChannelPool,
+    pool: ConnectionPool,
     address: str,
     payload: bytes,
     timeout_s: float,
     limit: int,
-) -> Fetched:
+) -> FetchResult:
     """Sends a request and collects its response.
 
     Args:
@@ -462,11 +462,11 @@
         async with asyncio.timeout(timeout_s):
             outcome, reason = await collector.ended
     except TimeoutError:
-        return Fetched(Outcome.BROKEN, "timeout", call.sent, None, b"")
+        return FetchResult(Outcome.BROKEN, "timeout", call.sent, None, b"")
     finally:
         call.cancel()
     body = bytes(collector.body)
-    return Fetched(outcome, reason, call.sent, collector.head, body)
+    return FetchResult(outcome, reason, call.sent, collector.head, body)
 
 
 def set_socket_options(sock: socket.socket | None) -> None:
@@ -485,7 +485,7 @@
         sock.setsockopt(level, name, value)
 
 
-def idle_seconds(head: AnswerHead | None) -> float:
+def idle_seconds(head: ResponseHead | None) -> float:
     """Returns how long a connection may stay idle after a response."""
     header = head.get("keep-alive") if head is not None else None
     if not header:
@@ -516,8 +516,8 @@
     return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1") + body
 
 
-def create_channel_pool(
+def create_connection_pool(
     connect_timeout_s: float = CONNECT_TIMEOUT_S,
-) -> ChannelPool:
+) -> ConnectionPool:
     """Creates an empty pool."""
-    return ChannelPool(connect_timeout_s)
+    return ConnectionPool(connect_timeout_s)
--- a/src/almondshift/adapters/http_front/server.py
+++ b/src/almondshift/adapters/http_front/server.py
@@ -55,7 +55,7 @@
         self._server.add_sockets(sockets)
         self.address = f"{self.host}:{sockets[0].getsockname()[1]}"
 
-    def keep_no_connections(self) -> None:
+    def disable_keep_alive(self) -> None:
         """Closes each connection after the response to its next request.
 
         A caller on a persistent connection does not look up other addresses.
--- a/src/almondshift/adapters/http_listener.py
+++ b/src/almondshift/adapters/http_listener.py
@@ -69,7 +69,7 @@
         self.server.conn_params.header_timeout = idle_s * IDLE_FACTOR
         self.server.conn_params.max_header_size = header_bytes
 
-    def keep_no_connections(self) -> None:
+    def disable_keep_alive(self) -> None:
         """Closes each connection after the response to its next request."""
         self.server.conn_params.no_keep_alive = True
 
@@ -107,7 +107,7 @@
         fields = httputil.HTTPHeaders()
         fields["Content-Type"] = answer.content_type
         fields["Content-Length"] = str(len(answer.body))
-        reason = reason_of(answer.status)
+        reason = reason_phrase(answer.status)
         line = httputil.ResponseStartLine("HTTP/1.1", answer.status, reason)
         self.connection.write_headers(line, fields, answer.body)
         self.connection.finish()
@@ -143,6 +143,6 @@
     )
 
 
-def reason_of(status: int) -> str:
+def reason_phrase(status: int) -> str:
     """Returns the standard reason phrase of a status."""
     return client.responses.get(status, "Unknown")
--- a/src/almondshift/console/commands/burn.py
+++ b/src/almondshift/console/commands/burn.py
@@ -68,7 +68,7 @@
     seeds = nodes.read_addresses(args)
     client = nodes.create_client(args)
     try:
-        status_results = await nodes.statuses(client, seeds)
+        status_results = await nodes.fetch_statuses(client, seeds)
         addresses = [result.address for result in status_results]
         return await nodes.call_all(addresses, client.burn)
     finally:
--- a/src/almondshift/console/commands/status.py
+++ b/src/almondshift/console/commands/status.py
@@ -65,7 +65,7 @@
     seeds = nodes.read_addresses(args)
     client = nodes.create_client(args, needs_secret=not args.relay)
     try:
-        return await nodes.statuses(client, seeds)
+        return await nodes.fetch_statuses(client, seeds)
     finally:
         client.close()
 
--- a/src/almondshift/console/nodes.py
+++ b/src/almondshift/console/nodes.py
@@ -121,7 +121,7 @@
     return result
 
 
-async def statuses(
+async def fetch_statuses(
     client: http_operations_client.NodeClient, seeds: list[str]
 ) -> list[NodeResult[dict[str, Any]]]:
     """Fetches the statuses of the seeds and of all nodes they know of."""
--- a/src/almondshift/daemons/demo.py
+++ b/src/almondshift/daemons/demo.py
@@ -163,7 +163,7 @@
     async def _kill_busiest(self) -> None:
         name = max(
             self.system.engines,
-            key=lambda n: len(self.system.engines[n].table),
+            key=lambda n: len(self.system.engines[n].session_table),
         )
         print(f"  after {KILL_AFTER_TOKENS} tokens: {name} is killed")
         await self.system.kill_engine(name)
--- a/src/almondshift/daemons/embedded.py
+++ b/src/almondshift/daemons/embedded.py
@@ -31,7 +31,7 @@
 
     from almondshift.node import application
 
-SETTINGS_TEXT = """\
+SETTINGS_TEMPLATE = """\
 [node]
 name = {name}
 zone = {zone}
@@ -241,7 +241,7 @@
             node.node.membership.node.peer_address
             for node in self.nodes.values()
         )
-        text = SETTINGS_TEXT.format(
+        text = SETTINGS_TEMPLATE.format(
             name=name,
             zone=zone,
             seeds=seeds,
--- a/src/almondshift/daemons/node.py
+++ b/src/almondshift/daemons/node.py
@@ -116,7 +116,7 @@
 
     async def stop_gracefully(self) -> None:
         """Ends keep-alive connections and drains in-flight requests."""
-        self.front.keep_no_connections()
+        self.front.disable_keep_alive()
         await self.node.stop_gracefully()
 
     async def close(self) -> None:
--- a/src/almondshift/daemons/relay.py
+++ b/src/almondshift/daemons/relay.py
@@ -52,8 +52,8 @@
 
     def __init__(self, settings: relay_settings.RelaySettings) -> None:
         rng = random.Random()
-        self.store_pool = http_channels.create_channel_pool()
-        self.engine_pool = http_channels.create_channel_pool(
+        self.store_pool = http_channels.create_connection_pool()
+        self.engine_pool = http_channels.create_connection_pool(
             ENGINE_CONNECT_TIMEOUT_S
         )
         platform_store = store.create_platform_store(
@@ -124,7 +124,7 @@
 
     async def stop_gracefully(self) -> None:
         """Ends keep-alive connections and drains in-flight requests."""
-        self.front.keep_no_connections()
+        self.front.disable_keep_alive()
         await self.node.stop_gracefully()
 
     async def close(self) -> None:
--- a/src/almondshift/platform/engines.py
+++ b/src/almondshift/platform/engines.py
@@ -99,7 +99,7 @@
     def __init__(self, listener: path_engines.AnswerListener) -> None:
         self.listener = listener
 
-    def on_head(self, head: http_channels.AnswerHead) -> None:
+    def on_head(self, head: http_channels.ResponseHead) -> None:
         """Forwards the head without its hop-by-hop fields."""
         self.listener.on_head(decode_head(head))
 
@@ -126,7 +126,7 @@
 class PlatformEngines(path_engines.PathEngines):
     """Calls over pooled keep-alive connections."""
 
-    def __init__(self, pool: http_channels.ChannelPool) -> None:
+    def __init__(self, pool: http_channels.ConnectionPool) -> None:
         self.pool = pool
 
     def forward(
@@ -211,7 +211,7 @@
 
     async def _get(
         self, address: str, path: str, timeout_s: float
-    ) -> http_channels.Fetched | None:
+    ) -> http_channels.FetchResult | None:
         """Returns the complete response to a GET; None if there is none."""
         payload = http_channels.request_bytes(
             "GET", path, [("Host", address)], b""
@@ -255,7 +255,7 @@
 
 
 def create_platform_engines(
-    pool: http_channels.ChannelPool,
+    pool: http_channels.ConnectionPool,
 ) -> PlatformEngines:
     """Creates a client that uses a pool of connections."""
     return PlatformEngines(pool)
@@ -286,7 +286,7 @@
     return headers
 
 
-def decode_head(head: http_channels.AnswerHead) -> relayed.ForwardedHead:
+def decode_head(head: http_channels.ResponseHead) -> relayed.ForwardedHead:
     """Translates the head of a response."""
     return relayed.ForwardedHead(
         status=head.status,
--- a/src/almondshift/platform/front.py
+++ b/src/almondshift/platform/front.py
@@ -108,7 +108,7 @@
         if self.ended:
             return
         self.head_sent = True
-        reason = http_listener.reason_of(status)
+        reason = http_listener.reason_phrase(status)
         line = httputil.ResponseStartLine("HTTP/1.1", status, reason)
         if self.connection.params.no_keep_alive:
             # tornado decides whether to keep the connection alive when it
--- a/src/almondshift/platform/store.py
+++ b/src/almondshift/platform/store.py
@@ -69,7 +69,9 @@
         calls: Calls sent since the start.
     """
 
-    def __init__(self, address: str, pool: http_channels.ChannelPool) -> None:
+    def __init__(
+        self, address: str, pool: http_channels.ConnectionPool
+    ) -> None:
         self.address = address
         self.pool = pool
         self.calls = 0
@@ -191,7 +193,7 @@
         target: str,
         body: bytes,
         timeout_s: float = CALL_TIMEOUT_S,
-    ) -> http_channels.Fetched:
+    ) -> http_channels.FetchResult:
         self.calls += 1
         headers = [("Host", self.address)]
         if body:
@@ -207,7 +209,7 @@
 
 
 def create_platform_store(
-    address: str, pool: http_channels.ChannelPool
+    address: str, pool: http_channels.ConnectionPool
 ) -> PlatformStore:
     """Creates a client of the store at ``host:port``."""
     return PlatformStore(address, pool)
@@ -262,7 +264,7 @@
 
 
 def _transport_error(
-    fetched: http_channels.Fetched, changes: bool
+    fetched: http_channels.FetchResult, changes: bool
 ) -> stores.StoreError:
     if changes and fetched.sent:
         return errors.StoreOutcomeUnknown(f"No response: {fetched.reason}.")
--- a/src/almondshift/standins/engine/handlers.py
+++ b/src/almondshift/standins/engine/handlers.py
@@ -141,7 +141,7 @@
 
     async def get(self, session: str) -> None:
         """Exports the KV cache of an idle session."""
-        snapshot = self.engine.table.export(session)
+        snapshot = self.engine.session_table.export(session)
         if snapshot is None:
             self.refuse(NOT_FOUND, "No idle session has this id.")
             return
--- a/src/almondshift/standins/engine/server.py
+++ b/src/almondshift/standins/engine/server.py
@@ -65,19 +65,19 @@
         self.cache = prefixes.PrefixCache(
             settings.prefix_blocks, self.events.add
         )
-        self.table = sessions.SessionTable(
+        self.session_table = sessions.SessionTable(
             settings.max_sessions, settings.session_idle_s, self._on_drop
         )
         self.weights = weights.WeightLoader(settings)
         self.holding_table = holdings.HoldingTable(
             settings,
             self.weights.load,
-            self.table.sessions.values,
-            self.table.drop,
+            self.session_table.sessions.values,
+            self.session_table.drop,
         )
         self.runner = runner.Runner(
             settings,
-            self.table,
+            self.session_table,
             self.holding_table,
             self.cache,
             self.record,
@@ -153,7 +153,7 @@
 
     def has_work(self) -> bool:
         """Returns whether any session is open."""
-        return len(self.table) > 0
+        return len(self.session_table) > 0
 
     def measure_load(self) -> endpoints.LoadReport:
         """Returns the current load."""
@@ -163,7 +163,7 @@
             self.holding_table.role,
             self.faults.leaving,
             self.holding_table.report(),
-            len(self.table),
+            len(self.session_table),
             len(self.batcher.queue),
             self.holding_table.order_number,
             0.0,
@@ -173,7 +173,7 @@
         """Drops sessions and their queued items."""
         self.batcher.cancel(set(session_ids))
         for session in session_ids:
-            self.table.drop(session)
+            self.session_table.drop(session)
 
     def import_snapshot(self, snapshot: steps.KvSnapshot) -> str:
         """Opens a session; returns the reason if refused, else ``""``.
@@ -185,15 +185,15 @@
             return "The engine does not accept new sessions."
         if not self.holding_table.can_open(snapshot):
             return "The engine does not hold these layers."
-        if self.table.find(snapshot.session) is not None:
+        if self.session_table.find(snapshot.session) is not None:
             return "The session already exists."
-        if not self.table.import_snapshot(snapshot, time.monotonic()):
+        if not self.session_table.import_snapshot(snapshot, time.monotonic()):
             return "All sessions are in use."
         return ""
 
     def drop_kv(self) -> None:
         """Drops all sessions and clears the prefix cache."""
-        self.table.drop_all()
+        self.session_table.drop_all()
         self.cache.clear()
 
     def _on_drop(self) -> None:
--- a/tests/adapters/test_http_channels.py
+++ b/tests/adapters/test_http_channels.py
@@ -72,7 +72,7 @@
         )
         self.ends = 0
 
-    def on_head(self, head: http_channels.AnswerHead) -> None:
+    def on_head(self, head: http_channels.ResponseHead) -> None:
         self.status = head.status
 
     def on_data(self, data: bytes) -> None:
@@ -88,7 +88,7 @@
 
 
 async def call(
-    pool: http_channels.ChannelPool, address: str
+    pool: http_channels.ConnectionPool, address: str
 ) -> tuple[http_channels.Outcome, Listener, http_channels.Call]:
     listener = Listener()
     made = pool.call(address, PAYLOAD, listener, "r1")
@@ -127,7 +127,7 @@
 ) -> None:
     server = Server([answer], end == "reset", end == "close")
     await server.start()
-    pool = http_channels.create_channel_pool()
+    pool = http_channels.create_connection_pool()
     found, listener, made = await call(pool, server.address)
     assert found.name == outcome
     assert made.sent
@@ -146,7 +146,7 @@
     assert server.server is not None
     server.server.close()
     await server.server.wait_closed()
-    pool = http_channels.create_channel_pool()
+    pool = http_channels.create_connection_pool()
     found, _, made = await call(pool, server.address)
     assert found is http_channels.Outcome.NOT_SENT
     assert not made.sent
@@ -161,7 +161,7 @@
     """
     server = Server([LENGTH_3])
     await server.start()
-    pool = http_channels.create_channel_pool()
+    pool = http_channels.create_connection_pool()
     assert (await call(pool, server.address))[0].name == "WHOLE"
     found, _, made = await call(pool, server.address)
     assert found is http_channels.Outcome.BROKEN
@@ -179,7 +179,7 @@
     """
     server = Server([LENGTH_3 + b"", LENGTH_3])
     await server.start()
-    pool = http_channels.create_channel_pool()
+    pool = http_channels.create_connection_pool()
     await call(pool, server.address)
     [connection] = pool.idle[server.address]
     connection.data_received(LENGTH_3)
@@ -192,7 +192,7 @@
 async def test_cancel_closes_connection_without_end_event() -> None:
     server = Server([OK + b"Content-Length: 9\r\n\r\nabc"])
     await server.start()
-    pool = http_channels.create_channel_pool()
+    pool = http_channels.create_connection_pool()
     listener = Listener()
     made = pool.call(server.address, PAYLOAD, listener, "r1")
     await asynchronous.wait_until(lambda: listener.body == b"abc")
@@ -214,7 +214,7 @@
 )
 def test_idle_seconds(written: str | None, seconds: float) -> None:
     fields = [("keep-alive", written)] if written else []
-    head = http_channels.AnswerHead(200, fields)
+    head = http_channels.ResponseHead(200, fields)
     assert http_channels.idle_seconds(head) == seconds
 
 
@@ -234,7 +234,7 @@
     """
     server = Server([LENGTH_3[:-3]])
     await server.start()
-    pool = http_channels.create_channel_pool()
+    pool = http_channels.create_connection_pool()
     listener = Listener()
     payload = http_channels.request_bytes("HEAD", "/x", [("Host", "h")], b"")
     pool.call(server.address, payload, listener, "r1")
--- a/tests/adapters/test_peer_link.py
+++ b/tests/adapters/test_peer_link.py
@@ -148,7 +148,7 @@
 
 
 def silence_up(proxy: fault_proxy.FaultProxy) -> None:
-    proxy.silent.add(fault_proxy.Direction.UP)
+    proxy.blocked_directions.add(fault_proxy.Direction.UP)
 
 
 @pytest.mark.parametrize("fault", [swallow, silence_up])
--- a/tests/coordination/test_membership_tcp.py
+++ b/tests/coordination/test_membership_tcp.py
@@ -123,7 +123,7 @@
             await processes.wait_until(
                 lambda: state() is alive, 3.0, "the node is known"
             )
-            proxy.silent.add(fault_proxy.Direction.UP)
+            proxy.blocked_directions.add(fault_proxy.Direction.UP)
             for _ in range(2):
                 result = await nodes[0].ask("node-3", "t", b"", 0.1)
                 assert result.is_error()
--- a/tests/faults/processes.py
+++ b/tests/faults/processes.py
@@ -16,7 +16,7 @@
     from collections.abc import Iterator
     import pathlib
 
-START_S = 20.0
+START_TIMEOUT_S = 20.0
 EXIT_TIMEOUT_S = 5.0
 POLL_S = 0.02
 LOG_TAIL_BYTES = 4_000
@@ -129,7 +129,7 @@
         """Starts ``python -m module`` and waits for its address."""
         process = self.launch(name, module, *arguments)
         await wait_until(
-            lambda: self.ready(process), START_S, f"{name} listens"
+            lambda: self.ready(process), START_TIMEOUT_S, f"{name} listens"
         )
         return process
 
--- a/tests/faults/proxy.py
+++ b/tests/faults/proxy.py
@@ -28,16 +28,17 @@
         upstream: ``host:port`` that connections are forwarded to.
         address: ``host:port`` to connect to, after ``start``.
         delay_s: Delay of each chunk, in each direction.
-        silent: Directions in which bytes are held back. They are delivered
-            after the direction is removed, as TCP would retransmit them.
+        blocked_directions: Directions in which bytes are held back. They are
+            delivered after the direction is removed, as TCP would retransmit
+            them.
         swallow_answers: Whether bytes that the upstream sends are dropped.
         request_limit: Bytes forwarded upstream on each connection; later
             ones are dropped. None for no limit.
         answer_limit: The same for bytes that the upstream sends.
-        held_content: Requests that contain this are held back until it
+        held_request_content: Requests that contain this are held back until it
             changes; None for none.
-        held: Number of requests that are being held back.
-        held_answer_to: Responses are held back on connections on which a
+        held_requests: Number of requests that are being held back.
+        held_response_to: Responses are held back on connections on which a
             request contained this, until it changes; None for none.
         trickle_bytes_s: Bytes per second in each direction; 0 for no limit.
         connections: Number of connections accepted so far.
@@ -49,13 +50,13 @@
         self.upstream = upstream
         self.address = ""
         self.delay_s = 0.0
-        self.silent: set[Direction] = set()
+        self.blocked_directions: set[Direction] = set()
         self.swallow_answers = False
         self.request_limit: int | None = None
         self.answer_limit: int | None = None
-        self.held_content: bytes | None = None
-        self.held = 0
-        self.held_answer_to: bytes | None = None
+        self.held_request_content: bytes | None = None
+        self.held_requests = 0
+        self.held_response_to: bytes | None = None
         self.held_response_streams: set[asyncio.StreamReader] = set()
         self.trickle_bytes_s = 0
         self.connections = 0
@@ -102,12 +103,12 @@
     def heal(self) -> None:
         """Clears all faults except ``refuse``."""
         self.delay_s = 0.0
-        self.silent.clear()
+        self.blocked_directions.clear()
         self.swallow_answers = False
         self.request_limit = None
         self.answer_limit = None
-        self.held_content = None
-        self.held_answer_to = None
+        self.held_request_content = None
+        self.held_response_to = None
         self.trickle_bytes_s = 0
 
     async def serve(
@@ -190,21 +191,24 @@
             await asyncio.sleep(self.delay_s)
         if self.trickle_bytes_s:
             await asyncio.sleep(size / self.trickle_bytes_s)
-        while direction in self.silent:
+        while direction in self.blocked_directions:
             await asyncio.sleep(POLL_S)
 
     async def hold_request(self, chunk: bytes) -> None:
         """Waits while a request is to be held back."""
-        self.held += 1
-        while self.held_content is not None and self.held_content in chunk:
+        self.held_requests += 1
+        while (
+            self.held_request_content is not None
+            and self.held_request_content in chunk
+        ):
             await asyncio.sleep(POLL_S)
-        self.held -= 1
+        self.held_requests -= 1
 
     def mark_held_response(
         self, chunk: bytes, upstream_reader: asyncio.StreamReader
     ) -> None:
         """Marks the response to a request to be held back."""
-        if self.held_answer_to is not None and self.held_answer_to in chunk:
+        if self.held_response_to is not None and self.held_response_to in chunk:
             self.held_response_streams.add(upstream_reader)
 
     async def hold_response(
@@ -212,7 +216,7 @@
     ) -> None:
         """Waits while a response is to be held back."""
         while (
-            self.held_answer_to is not None
+            self.held_response_to is not None
             and upstream_reader in self.held_response_streams
         ):
             await asyncio.sleep(POLL_S)
--- a/tests/faults/systems.py
+++ b/tests/faults/systems.py
@@ -70,7 +70,7 @@
 keep_inputs = {keep_inputs}
 router = {router}
 """
-SETTINGS = embedded.SETTINGS_TEXT + EXPERIMENT
+SETTINGS = embedded.SETTINGS_TEMPLATE + EXPERIMENT
 
 
 def fleet_text(extra: str = "") -> str:
--- a/tests/faults/test_proxy.py
+++ b/tests/faults/test_proxy.py
@@ -58,27 +58,27 @@
 
 
 def silence_up(proxy: fault_proxy.FaultProxy) -> None:
-    proxy.silent.add(fault_proxy.Direction.UP)
+    proxy.blocked_directions.add(fault_proxy.Direction.UP)
 
 
 def silence_down(proxy: fault_proxy.FaultProxy) -> None:
-    proxy.silent.add(fault_proxy.Direction.DOWN)
+    proxy.blocked_directions.add(fault_proxy.Direction.DOWN)
 
 
 def hold_request(proxy: fault_proxy.FaultProxy) -> None:
-    proxy.held_content = b"345"
+    proxy.held_request_content = b"345"
 
 
 def hold_other_request(proxy: fault_proxy.FaultProxy) -> None:
-    proxy.held_content = b"543"
+    proxy.held_request_content = b"543"
 
 
 def hold_answer(proxy: fault_proxy.FaultProxy) -> None:
-    proxy.held_answer_to = b"345"
+    proxy.held_response_to = b"345"
 
 
 def hold_other_answer(proxy: fault_proxy.FaultProxy) -> None:
-    proxy.held_answer_to = b"543"
+    proxy.held_response_to = b"543"
 
 
 @pytest.mark.parametrize(
--- a/tests/platform/standin_engines.py
+++ b/tests/platform/standin_engines.py
@@ -25,7 +25,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class EngineWorld:
+class EngineCluster:
     """Engines by address, so that each can tell whether another is alive."""
 
     engines: dict[str, StandinEngine] = dataclasses.field(default_factory=dict)
@@ -67,9 +67,9 @@
     """
 
     def __init__(
-        self, world: EngineWorld, instance: str, kind: str, layers: int = 80
+        self, cluster: EngineCluster, instance: str, kind: str, layers: int = 80
     ) -> None:
-        self.world = world
+        self.cluster = cluster
         self.instance = instance
         self.kind = kind
         self.layer_count = layers
@@ -111,7 +111,7 @@
         self.server = httpserver.HTTPServer(application)
         self.server.add_sockets(sockets)
         self.address = f"127.0.0.1:{sockets[0].getsockname()[1]}"
-        self.world.engines[self.address] = self
+        self.cluster.engines[self.address] = self
 
     async def close(self) -> None:
         assert self.server is not None
@@ -163,13 +163,13 @@
         for address, _, _ in path:
             held_since = kept.get(address)
             if held_since is None:
-                held_since = self.world.engines[address].born
+                held_since = self.cluster.engines[address].born
             run.starts[address] = held_since
 
     def refusal(self, path: list[tuple[str, int, int]]) -> tuple[int, str]:
         """Returns a status and the address at fault; 0 if the path can run."""
         for address, start, end in path:
-            other = self.world.engines.get(address)
+            other = self.cluster.engines.get(address)
             if other is None or other.is_dead:
                 return 503, address
             if other.is_full or other.is_draining:
@@ -317,7 +317,7 @@
             await asyncio.sleep(self.engine.gap_s)
 
     async def wait_for_path(self, run: RunningStream) -> None:
-        engines = self.engine.world.engines
+        engines = self.engine.cluster.engines
         while True:
             # An engine that gives up layers lets the running streams finish,
             # so only dead and restarted engines stall a stream.
--- a/tests/platform/standin_system.py
+++ b/tests/platform/standin_system.py
@@ -113,14 +113,14 @@
 
     def __init__(self) -> None:
         self.store = standin_store.StandinStore()
-        self.world = standin_engines.EngineWorld()
+        self.cluster = standin_engines.EngineCluster()
         self.engines: dict[str, standin_engines.StandinEngine] = {}
         self.nodes: list[relay.RelayProcess] = []
 
     async def add_engine(
         self, instance: str, service: str, zone: str, kind: str = ""
     ) -> standin_engines.StandinEngine:
-        engine = standin_engines.StandinEngine(self.world, instance, kind)
+        engine = standin_engines.StandinEngine(self.cluster, instance, kind)
         await engine.start()
         self.engines[instance] = engine
 
@@ -155,7 +155,7 @@
             while not condition():
                 await asyncio.sleep(0.02)
 
-    async def meet(self) -> None:
+    async def wait_for_peers(self) -> None:
         """Waits until each node knows another serving node."""
         await self.until(
             lambda: all(
--- a/tests/platform/test_decode.py
+++ b/tests/platform/test_decode.py
@@ -195,7 +195,9 @@
     status: int, fields: list[tuple[str, str]], genuine: bool, not_run: bool
 ) -> None:
     head = engines.decode_head(
-        http_channels.AnswerHead(status, [*fields, ("keep-alive", "timeout=1")])
+        http_channels.ResponseHead(
+            status, [*fields, ("keep-alive", "timeout=1")]
+        )
     )
     assert (head.genuine, head.not_run) == (genuine, not_run)
     assert all(name != "keep-alive" for name, _ in head.headers)
--- a/tests/platform/test_draining_engines.py
+++ b/tests/platform/test_draining_engines.py
@@ -32,7 +32,7 @@
 
     async def scenario() -> None:
         async with system.running_system(nodes=3) as running:
-            await running.meet()
+            await running.wait_for_peers()
             trackers = [
                 process.node.shared.tracker for process in running.nodes
             ]
@@ -102,7 +102,7 @@
 
     async def scenario() -> None:
         async with system.running_system(nodes=2) as running:
-            await running.meet()
+            await running.wait_for_peers()
             for engine in running.engines.values():
                 engine.events, engine.gap_s = 80, 0.02
             trackers = [node.node.shared.tracker for node in running.nodes]
--- a/tests/platform/test_fuzzed_borders.py
+++ b/tests/platform/test_fuzzed_borders.py
@@ -193,7 +193,7 @@
         self.body = b""
         self.ends: list[http_channels.Outcome] = []
 
-    def on_head(self, head: http_channels.AnswerHead) -> None:
+    def on_head(self, head: http_channels.ResponseHead) -> None:
         self.heads += 1
         engines.decode_head(head)
 
@@ -208,7 +208,7 @@
     parts: list[bytes], ends_with_eof: bool
 ) -> CollectingListener:
     """Feeds a response to a connection in parts, without a socket."""
-    pool = http_channels.create_channel_pool()
+    pool = http_channels.create_connection_pool()
     connection = http_channels.Connection(pool, "h:1")
     connection.transport = FakeTransport()
     listener = CollectingListener()
@@ -276,7 +276,7 @@
     """
     field = b"X-Filler: " + b"a" * 5_000 + b"\r\n"
     parts = [b"HTTP/1.1 200 OK\r\n", *[field] * 20]
-    pool = http_channels.create_channel_pool()
+    pool = http_channels.create_connection_pool()
     connection = http_channels.Connection(pool, "h:1")
     connection.transport = FakeTransport()
     listener = CollectingListener()
@@ -315,18 +315,18 @@
 
     async def scenario() -> None:
         class FixedResponseStore(store.PlatformStore):
-            async def _call(self, *args: Any) -> http_channels.Fetched:
+            async def _call(self, *args: Any) -> http_channels.FetchResult:
                 del args
-                return http_channels.Fetched(
+                return http_channels.FetchResult(
                     http_channels.Outcome.WHOLE,
                     "",
                     True,
-                    http_channels.AnswerHead(200, []),
+                    http_channels.ResponseHead(200, []),
                     content,
                 )
 
         store_client = FixedResponseStore(
-            "h:1", http_channels.create_channel_pool()
+            "h:1", http_channels.create_connection_pool()
         )
         whole: expression.Result[Any, Any] = await store_client.read_whole("t")
         changes = await store_client.wait_for_changes("t", 0, 0.0)
--- a/tests/platform/test_restarted_engines.py
+++ b/tests/platform/test_restarted_engines.py
@@ -51,7 +51,7 @@
             [run] = running.nodes[0].node.shared.running
             path = run.attempt.path  # type: ignore[attr-defined]
             part = path[1] if failed_position == "middle" else path[0]
-            engine = running.world.engines[part.address]
+            engine = running.cluster.engines[part.address]
             await engine.restart(updates_registry=not is_delayed)
             if is_delayed:
                 await asyncio.sleep(REGISTRY_DELAY_S)
--- a/tests/platform/test_restarts_and_clocks.py
+++ b/tests/platform/test_restarts_and_clocks.py
@@ -217,7 +217,7 @@
             client = console_nodes.create_client(
                 argparse.Namespace(), needs_secret=False
             )
-            answers = await console_nodes.statuses(client, addresses)
+            answers = await console_nodes.fetch_statuses(client, addresses)
             client.close()
             assert [a.error for a in answers] == [None, None]
             seen = [a.value or {} for a in answers]
--- a/tests/platform/test_stop_edges.py
+++ b/tests/platform/test_stop_edges.py
@@ -172,7 +172,7 @@
             leaving = await running.add_node("b")
             entry = leaving.settings.entry.address
             await asyncio.sleep(0.3)
-            leaving.front.keep_no_connections()
+            leaving.front.disable_keep_alive()
             leaving.node.settings.drain = relay_settings.DrainSection(4.0, 6.0)
             stopping = asyncio.create_task(leaving.node.stop_gracefully())
             await asyncio.sleep(0.1)
--- a/tests/platform/test_whole_system.py
+++ b/tests/platform/test_whole_system.py
@@ -221,7 +221,7 @@
             [run] = running.nodes[0].node.shared.running
             path = run.attempt.path  # type: ignore[attr-defined]
             part = path[1] if failed_position == "middle" else path[0]
-            running.world.engines[part.address].is_dead = True
+            running.cluster.engines[part.address].is_dead = True
             status, _, body = await stream
             assert status == 200
             assert tokens(body) == WHOLE
--- a/tests/relay/test_lost_engines.py
+++ b/tests/relay/test_lost_engines.py
@@ -28,7 +28,7 @@
     async def scenario() -> None:
         async with system.running_system(nodes=2) as running:
             first, second = (process.node.shared for process in running.nodes)
-            await running.meet()
+            await running.wait_for_peers()
             dead = running.engines["a0"]
             dead.is_dead = True
             await dead.close()
@@ -51,7 +51,7 @@
     async def scenario() -> None:
         async with system.running_system(nodes=2) as running:
             first, second = (process.node.shared for process in running.nodes)
-            await running.meet()
+            await running.wait_for_peers()
             seen: list[log_events.Event] = []
             second.observer.emit = seen.append  # type: ignore[method-assign]
             first.lost.suspect("a0", engine_book.Suspicion.UNREACHABLE)
--- a/tests/relay/test_path_probe.py
+++ b/tests/relay/test_path_probe.py
@@ -54,7 +54,7 @@
             await asyncio.sleep(0.2)
             [run] = shared.running
             part = run.attempt.path[1]  # type: ignore[attr-defined]
-            dead = running.world.engines[part.address]
+            dead = running.cluster.engines[part.address]
             dead.is_dead = True
             if not is_dark:
                 await dead.close()
--- a/tests/scenarios/datapath/faults.py
+++ b/tests/scenarios/datapath/faults.py
@@ -42,21 +42,21 @@
 
 def cut_before_run(world: paths.PathWorld, engine: str) -> None:
     proxy = world.system.proxies[engine]
-    proxy.silent.add(proxies.Direction.UP)
+    proxy.blocked_directions.add(proxies.Direction.UP)
     if world.notes.get("phase") == "decode":
         # The answer that is held back brings the step that is cut.
         world.release_stages()
     world.run(asyncio.sleep(IN_FLIGHT_S))
     proxy.cut()
-    proxy.silent.clear()
+    proxy.blocked_directions.clear()
 
 
 def cut_after_run(world: paths.PathWorld, engine: str) -> None:
     proxy = world.system.proxies[engine]
-    proxy.silent.add(proxies.Direction.DOWN)
+    proxy.blocked_directions.add(proxies.Direction.DOWN)
     world.run(asyncio.sleep(IN_FLIGHT_S))
     proxy.cut()
-    proxy.silent.clear()
+    proxy.blocked_directions.clear()
 
 
 def cut_off(world: paths.PathWorld, engine: str) -> None:
@@ -66,17 +66,17 @@
 
 
 def hold_requests(world: paths.PathWorld, engine: str) -> None:
-    world.system.proxies[engine].silent.add(proxies.Direction.UP)
+    world.system.proxies[engine].blocked_directions.add(proxies.Direction.UP)
 
 
 def hold_answers(world: paths.PathWorld, engine: str) -> None:
-    world.system.proxies[engine].silent.add(proxies.Direction.DOWN)
+    world.system.proxies[engine].blocked_directions.add(proxies.Direction.DOWN)
 
 
 def hold_answers_once(world: paths.PathWorld, engine: str) -> None:
     hold_answers(world, engine)
     world.run(asyncio.sleep(PAUSE_S))
-    world.system.proxies[engine].silent.clear()
+    world.system.proxies[engine].blocked_directions.clear()
 
 
 def swallow(world: paths.PathWorld, engine: str) -> None:
--- a/tests/scenarios/datapath/paths.py
+++ b/tests/scenarios/datapath/paths.py
@@ -357,14 +357,14 @@
         """
         for engine, place in self.notes["places"].items():
             if place == stage:
-                silent = self.system.proxies[engine].silent
+                silent = self.system.proxies[engine].blocked_directions
                 silent.add(proxies.Direction.DOWN)
 
     def release_stages(self, but: str = "") -> None:
         """Lets held answers go on, but those of one engine."""
         for engine in self.notes.get("places", ()):
             if engine != but:
-                silent = self.system.proxies[engine].silent
+                silent = self.system.proxies[engine].blocked_directions
                 silent.discard(proxies.Direction.DOWN)
 
     def note_executions(self) -> None:
--- a/tests/scenarios/datapath/troubles.py
+++ b/tests/scenarios/datapath/troubles.py
@@ -38,7 +38,7 @@
 
 
 async def hold_requests(system: paths.PathSystem) -> None:
-    system.proxies[ENDPOINT].silent.add(proxies.Direction.UP)
+    system.proxies[ENDPOINT].blocked_directions.add(proxies.Direction.UP)
 
 
 async def cut_requests_short(system: paths.PathSystem) -> None:
@@ -47,7 +47,7 @@
 
 async def cut_mid_request(system: paths.PathSystem) -> None:
     proxy = system.proxies[ENDPOINT]
-    proxy.silent.add(proxies.Direction.UP)
+    proxy.blocked_directions.add(proxies.Direction.UP)
     system.tasks.append(asyncio.create_task(_cut_next(proxy)))
 
 
@@ -60,7 +60,7 @@
 
 
 async def hold_answers(system: paths.PathSystem) -> None:
-    system.proxies[ENDPOINT].silent.add(proxies.Direction.DOWN)
+    system.proxies[ENDPOINT].blocked_directions.add(proxies.Direction.DOWN)
 
 
 async def cut_answers_short(system: paths.PathSystem) -> None:
--- a/tests/scenarios/steps_config.py
+++ b/tests/scenarios/steps_config.py
@@ -104,23 +104,23 @@
 
 @when(parsers.parse("changes that {node} writes are held back on the way"))
 def hold_writes(control: controls.Control, node: str) -> None:
-    control.proxies[node].held_content = controls.CONFIG_WRITE
+    control.proxies[node].held_request_content = controls.CONFIG_WRITE
 
 
 @when(parsers.parse("what {node} wrote arrives late"))
 def release_writes(control: controls.Control, node: str) -> None:
     proxy = control.proxies[node]
-    proxy.held_content = None
+    proxy.held_request_content = None
 
     async def gone() -> bool:
-        return proxy.held == 0
+        return proxy.held_requests == 0
 
     control.world.run(control.system.wait_for(gone, f"writes of {node} went"))
 
 
 def _wait_held(control: controls.Control, node: str) -> None:
     async def held() -> bool:
-        return control.proxies[node].held > 0
+        return control.proxies[node].held_requests > 0
 
     control.world.run(control.system.wait_for(held, f"a write of {node}"))
 
--- a/tests/scenarios/steps_once.py
+++ b/tests/scenarios/steps_once.py
@@ -163,7 +163,7 @@
 
 @when(parsers.parse("the claim's answer does not reach {node}"))
 def hold_claim(control: controls.Control, node: str) -> None:
-    control.proxies[node].held_answer_to = CLAIM_WRITE
+    control.proxies[node].held_response_to = CLAIM_WRITE
 
 
 @when(parsers.parse("the claim's answer reaches {node} late"))
--- a/tests/scenarios/steps_orders.py
+++ b/tests/scenarios/steps_orders.py
@@ -96,7 +96,7 @@
 @when("the platform is cut off from the former holder")
 def cut_platform(control: controls.Control) -> None:
     proxy = control.proxies[control.world.notes[FORMER]]
-    proxy.silent.update(fault_proxy.Direction)
+    proxy.blocked_directions.update(fault_proxy.Direction)
 
 
 @when("the former holder thaws")
--- a/tests/soak/engine_process.py
+++ b/tests/soak/engine_process.py
@@ -55,7 +55,7 @@
 
     def __init__(self, options: argparse.Namespace) -> None:
         kind = "big" if options.service == layout.MODEL_SERVICE else ""
-        super().__init__(standin_engines.EngineWorld(), options.name, kind)
+        super().__init__(standin_engines.EngineCluster(), options.name, kind)
         self.options = options
         self.address = options.public
         self.born = time.time_ns() // 1_000_000
@@ -66,7 +66,7 @@
         self.http = httpclient.AsyncHTTPClient(max_clients=200)
         self.changed = asyncio.Event()
         self.on_change = self.changed.set
-        self.world.engines[self.address] = self
+        self.cluster.engines[self.address] = self
 
     async def start(self) -> None:
         engine = {"engine": self}
@@ -144,9 +144,9 @@
             layers = tuple(said["layers"]) if said["layers"] else None
             known = OtherEngine(layers=layers, born=said["born"])
         except (OSError, httpclient.HTTPError):
-            former = self.world.engines.get(address)
+            former = self.cluster.engines.get(address)
             known = OtherEngine(True, born=former.born if former else 0)
-        self.world.engines[address] = known  # type: ignore[assignment]
+        self.cluster.engines[address] = known  # type: ignore[assignment]
 
 
 class StateHandler(web.RequestHandler):
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -161,9 +161,9 @@
     async def silence(self, link: fault_proxy.FaultProxy, effect: str) -> None:
         both = set(fault_proxy.Direction)
         silent = both if effect == "both" else {fault_proxy.Direction(effect)}
-        link.silent |= silent
+        link.blocked_directions |= silent
         await asyncio.sleep(self.lasts_s)
-        link.silent -= silent
+        link.blocked_directions -= silent
 
 
 class FrontLinkFault(LinkFault):
--- a/tests/soak/system.py
+++ b/tests/soak/system.py
@@ -333,7 +333,7 @@
             part.kill()
 
     async def until_listens(self, address: str) -> None:
-        async with asyncio.timeout(processes.START_S):
+        async with asyncio.timeout(processes.START_TIMEOUT_S):
             while True:
                 try:
                     host, _, port = address.rpartition(":")
--- a/tests/standins/test_engine_steps.py
+++ b/tests/standins/test_engine_steps.py
@@ -99,7 +99,7 @@
         await rig.step(rigs.make_item(session="b"))
 
         assert await rig.statuses(rigs.make_item(session="c")) == [status]
-        assert list(rig.engine.table.sessions) == kept_sessions
+        assert list(rig.engine.session_table.sessions) == kept_sessions
 
 
 @asynchronous.run
