--- a/bench/answer_parsers.py
+++ b/bench/answer_parsers.py
@@ -3,7 +3,7 @@
     python -m bench.answer_parsers
 
 A sender in a process of its own writes events of 120 bytes in chunks, one at
-a time, as engines do. Three clients read them: ``adapters/http_channels``
+a time, as engines do. Three clients read them: ``adapters/http_connections``
 (``httptools`` over asyncio's transport), ``h11`` over the same transport, and
 tornado's HTTP/1 connection over its stream. Only the reader's processor time
 counts.
@@ -21,7 +21,7 @@
 from tornado import httputil
 from tornado import iostream
 
-from almondshift.adapters import http_channels
+from almondshift.adapters import http_connections
 
 EVENTS = 20_000
 BURSTS = 3
@@ -49,14 +49,14 @@
         connection.close()
 
 
-class Counter(http_channels.CallListener):
+class Counter(http_connections.CallListener):
     """Asks for the next event after each."""
 
     def __init__(self) -> None:
-        self.call: http_channels.Call | None = None
+        self.call: http_connections.Call | None = None
         self.done = asyncio.get_running_loop().create_future()
 
-    def on_head(self, head: http_channels.ResponseHead) -> None:
+    def on_head(self, head: http_connections.ResponseHead) -> None:
         """Takes the head."""
 
     def on_data(self, data: bytes) -> None:
@@ -66,20 +66,20 @@
         assert transport is not None
         transport.write(b"n")
 
-    def on_end(self, outcome: http_channels.Outcome, reason: str) -> None:
+    def on_end(self, outcome: http_connections.Outcome, reason: str) -> None:
         """Ends the measurement."""
         self.done.set_result(outcome)
 
 
 async def read_channels(port: int) -> None:
     """Reads a stream by our client."""
-    pool = http_channels.create_connection_pool()
+    pool = http_connections.create_connection_pool()
     counter = Counter()
-    payload = http_channels.request_bytes("POST", "/", [("Host", "h")], b"")
+    payload = http_connections.request_bytes("POST", "/", [("Host", "h")], b"")
     address = f"127.0.0.1:{port}"
     counter.call = pool.call(address, payload, counter, "r1")
     outcome = await counter.done
-    assert outcome is http_channels.Outcome.WHOLE
+    assert outcome is http_connections.Outcome.WHOLE
 
 
 class H11Protocol(asyncio.Protocol):
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -34,7 +34,7 @@
 from almondshift.model import routes as model_routes
 from almondshift.platform import decode
 from almondshift.policy import answer_times
-from almondshift.policy import engine_book
+from almondshift.policy import engine_tracker
 from almondshift.policy import first_event_wait
 from almondshift.policy import layer_holdings
 from almondshift.policy import layer_plan
@@ -235,7 +235,7 @@
         self.known.apply_config_row(
             row_feeds.FeedRow("config", config(), 1), verified=True
         )
-        self.tracker = engine_book.EngineTracker()
+        self.tracker = engine_tracker.EngineTracker()
         self.paths = path_choice.create_path_chooser(
             self.tracker, random.Random(1)
         )
@@ -414,7 +414,7 @@
         lost = max(sorted(used), key=lambda instance: used[instance])
         moved += used[lost]
         start = time.process_time()
-        node.watch.moves.engine_lost(lost, engine_book.Suspicion.GONE)
+        node.watch.moves.engine_lost(lost, engine_tracker.Suspicion.GONE)
         while len(node.watch.work):
             await asyncio.sleep(0)
         node.choose()
--- a/bench/exchange.py
+++ b/bench/exchange.py
@@ -36,7 +36,7 @@
 from almondshift.node import usage
 from almondshift.policy import actions
 from almondshift.policy import events
-from almondshift.policy import routers
+from almondshift.policy import router_interface
 from almondshift.ports import clocks
 from almondshift.ports import peers
 
@@ -143,7 +143,7 @@
         return decoded
 
 
-class IdleRouter(routers.Router):
+class IdleRouter(router_interface.Router):
     """A router that decides nothing; its own cost is in ``bench.load``."""
 
     def handle(self, event: events.Event) -> list[actions.Action]:
--- a/bench/virtual/clusters.py
+++ b/bench/virtual/clusters.py
@@ -22,7 +22,7 @@
     from collections.abc import Callable
 
     from almondshift.policy import actions
-    from almondshift.policy import routers
+    from almondshift.policy import router_interface
 
 MODEL = "m"
 LAYERS = 12
@@ -84,13 +84,17 @@
 """Mixed accelerators, with ranges that do not all meet."""
 
 
-def create_baseline(rng: random.Random, node: str, zone: str) -> routers.Router:
+def create_baseline(
+    rng: random.Random, node: str, zone: str
+) -> router_interface.Router:
     """Returns the named baseline."""
     del node, zone
     return baseline.create_baseline_router(rng)
 
 
-def create_router(rng: random.Random, node: str, zone: str) -> routers.Router:
+def create_router(
+    rng: random.Random, node: str, zone: str
+) -> router_interface.Router:
     """Returns the router that nodes run."""
     return router.create_router(rng, node, router.RouterSettings(zone=zone))
 
@@ -124,7 +128,7 @@
 
     def __init__(
         self,
-        factory: Callable[[random.Random, str, str], routers.Router],
+        factory: Callable[[random.Random, str, str], router_interface.Router],
         *,
         seed: int = 1,
         specs: tuple[EngineSpec, ...] = MIXED,
@@ -200,7 +204,7 @@
 
     def _make_node(
         self,
-        factory: Callable[[random.Random, str, str], routers.Router],
+        factory: Callable[[random.Random, str, str], router_interface.Router],
         index: int,
     ) -> nodes_module.VirtualNode:
         name = f"n{index}"
--- a/bench/virtual/nodes.py
+++ b/bench/virtual/nodes.py
@@ -14,7 +14,7 @@
     from collections.abc import Callable
 
     from almondshift.model import chains
-    from almondshift.policy import routers
+    from almondshift.policy import router_interface
     from bench.virtual import results
     from bench.virtual import simulation
 
@@ -54,7 +54,7 @@
         sim: simulation.Simulation,
         name: str,
         zone: str,
-        router: routers.Router,
+        router: router_interface.Router,
         engines: dict[str, engines_module.VirtualEngine],
         link_s: Callable[[str, str], float],
     ) -> None:
--- a/bench/virtual/patterns.py
+++ b/bench/virtual/patterns.py
@@ -14,9 +14,9 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from almondshift.policy import routers
+    from almondshift.policy import router_interface
 
-    Factory = Callable[[random.Random, str, str], routers.Router]
+    Factory = Callable[[random.Random, str, str], router_interface.Router]
 
 NORMAL_LOAD = 0.8
 """Part of the hardware bound that counts as 1x."""
--- a/src/almondshift/daemons/node.py
+++ b/src/almondshift/daemons/node.py
@@ -35,7 +35,7 @@
     import expression
 
     from almondshift import errors
-    from almondshift.policy import routers
+    from almondshift.policy import router_interface
 
 STORE_TIMEOUT_S = 1.0
 MAX_ENGINE_CONNECTIONS = 256
@@ -167,7 +167,7 @@
 
 def _create_router(
     settings: node_settings.NodeSettings, rng: random.Random
-) -> routers.Router:
+) -> router_interface.Router:
     if settings.router == "baseline":
         return baseline.create_baseline_router(rng)
     return router.create_router(
--- a/src/almondshift/daemons/relay.py
+++ b/src/almondshift/daemons/relay.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING
 
 from almondshift import log_events
-from almondshift.adapters import http_channels
+from almondshift.adapters import http_connections
 from almondshift.adapters import http_listener
 from almondshift.adapters import peer_link
 from almondshift.adapters import relay_settings
@@ -52,8 +52,8 @@
 
     def __init__(self, settings: relay_settings.RelaySettings) -> None:
         rng = random.Random()
-        self.store_pool = http_channels.create_connection_pool()
-        self.engine_pool = http_channels.create_connection_pool(
+        self.store_pool = http_connections.create_connection_pool()
+        self.engine_pool = http_connections.create_connection_pool(
             ENGINE_CONNECT_TIMEOUT_S
         )
         platform_store = store.create_platform_store(
--- a/src/almondshift/node/application.py
+++ b/src/almondshift/node/application.py
@@ -50,7 +50,7 @@
     from almondshift.adapters import settings as node_settings
     from almondshift.model import fleet
     from almondshift.policy import planners
-    from almondshift.policy import routers
+    from almondshift.policy import router_interface
     from almondshift.ports import clocks
     from almondshift.ports import engines
     from almondshift.ports import operations as operation_ports
@@ -81,7 +81,7 @@
 class NodeChoices:
     """Components that can be replaced by a baseline for comparison."""
 
-    router: routers.Router
+    router: router_interface.Router
     planner: planners.Planner
     completions: completions.CompletionSettings = dataclasses.field(
         default_factory=completions.CompletionSettings
--- a/src/almondshift/node/gateway.py
+++ b/src/almondshift/node/gateway.py
@@ -10,7 +10,7 @@
 from almondshift.coordination import claim_rows
 from almondshift.model import fleet as fleets
 from almondshift.model import prefixes
-from almondshift.node import kept_answers
+from almondshift.node import stored_completions
 from almondshift.ports import gateway
 from almondshift.ports import plain_services
 
@@ -121,13 +121,13 @@
             request.account,
             request.service,
             request.idempotency_key,
-            kept_answers.fingerprint_body(request),
+            stored_completions.fingerprint_body(request),
             request.deadline,
             lambda: self._run_to_end(request),
         )
         match kept:
             case expression.Result(tag="ok", ok=result):
-                return kept_answers.to_stream(request.request_id, result)
+                return stored_completions.to_stream(request.request_id, result)
             case expression.Result(error=error):
                 return expression.Error(error)
 
@@ -144,7 +144,7 @@
     async def _run_to_end(
         self, request: requests.CompletionRequest
     ) -> expression.Result[claim_rows.StoredResult, errors.AlmondshiftError]:
-        return await kept_answers.collect(await self._start(request))
+        return await stored_completions.collect(await self._start(request))
 
     async def call_plain(
         self, request: gateway.PlainRequest
--- a/src/almondshift/node/router_driver.py
+++ b/src/almondshift/node/router_driver.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from almondshift.policy import routers
+    from almondshift.policy import router_interface
     from almondshift.ports import clocks
 
 TICK_INTERVAL_S = 0.02
@@ -34,7 +34,9 @@
         on_probe: Called with the endpoint of each probe that is requested.
     """
 
-    def __init__(self, router: routers.Router, clock: clocks.Clock) -> None:
+    def __init__(
+        self, router: router_interface.Router, clock: clocks.Clock
+    ) -> None:
         self.router = router
         self.clock = clock
         self.usage = usage.create_usage()
@@ -107,7 +109,7 @@
 
 
 def create_router_driver(
-    router: routers.Router, clock: clocks.Clock
+    router: router_interface.Router, clock: clocks.Clock
 ) -> RouterDriver:
     """Builds a driver without starting it."""
     return RouterDriver(router, clock)
--- a/src/almondshift/platform/engines.py
+++ b/src/almondshift/platform/engines.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from almondshift.adapters import http_channels
+from almondshift.adapters import http_connections
 from almondshift.model import lifetimes
 from almondshift.model import relayed
 from almondshift.platform import names
@@ -49,10 +49,10 @@
 """Request fields that this node sets itself or never forwards."""
 
 ENDING_BY_OUTCOME = {
-    http_channels.Outcome.WHOLE: path_engines.Ending.WHOLE,
-    http_channels.Outcome.NOT_SENT: path_engines.Ending.NOT_SENT,
-    http_channels.Outcome.BROKEN: path_engines.Ending.BROKEN,
-    http_channels.Outcome.SPOILT: path_engines.Ending.SPOILT,
+    http_connections.Outcome.WHOLE: path_engines.Ending.WHOLE,
+    http_connections.Outcome.NOT_SENT: path_engines.Ending.NOT_SENT,
+    http_connections.Outcome.BROKEN: path_engines.Ending.BROKEN,
+    http_connections.Outcome.SPOILT: path_engines.Ending.SPOILT,
 }
 
 ORDER_OUTCOME_BY_STATUS = {
@@ -93,13 +93,13 @@
 REPORT_DECODER = msgspec.json.Decoder(WireReport)
 
 
-class ListenerAdapter(http_channels.CallListener):
+class ListenerAdapter(http_connections.CallListener):
     """Translates a response for an ``AnswerListener``."""
 
     def __init__(self, listener: path_engines.AnswerListener) -> None:
         self.listener = listener
 
-    def on_head(self, head: http_channels.ResponseHead) -> None:
+    def on_head(self, head: http_connections.ResponseHead) -> None:
         """Forwards the head without its hop-by-hop fields."""
         self.listener.on_head(decode_head(head))
 
@@ -107,7 +107,7 @@
         """Forwards a chunk of the body."""
         self.listener.on_data(data)
 
-    def on_end(self, outcome: http_channels.Outcome, reason: str) -> None:
+    def on_end(self, outcome: http_connections.Outcome, reason: str) -> None:
         """Forwards the outcome."""
         self.listener.on_end(ENDING_BY_OUTCOME[outcome], reason)
 
@@ -115,7 +115,7 @@
 class ForwardedCall(path_engines.ForwardedRequest):
     """A forwarded request over an HTTP call."""
 
-    def __init__(self, call: http_channels.Call) -> None:
+    def __init__(self, call: http_connections.Call) -> None:
         self.call = call
 
     def cancel(self) -> None:
@@ -126,7 +126,7 @@
 class PlatformEngines(path_engines.PathEngines):
     """Calls over pooled keep-alive connections."""
 
-    def __init__(self, pool: http_channels.ConnectionPool) -> None:
+    def __init__(self, pool: http_connections.ConnectionPool) -> None:
         self.pool = pool
 
     def forward(
@@ -136,7 +136,7 @@
         listener: path_engines.AnswerListener,
     ) -> path_engines.ForwardedRequest:
         """Forwards a request to an endpoint."""
-        payload = http_channels.request_bytes(
+        payload = http_connections.request_bytes(
             request.method,
             request.target,
             forward_headers(request, forwarding),
@@ -211,15 +211,15 @@
 
     async def _get(
         self, address: str, path: str, timeout_s: float
-    ) -> http_channels.FetchResult | None:
+    ) -> http_connections.FetchResult | None:
         """Returns the complete response to a GET; None if there is none."""
-        payload = http_channels.request_bytes(
+        payload = http_connections.request_bytes(
             "GET", path, [("Host", address)], b""
         )
-        fetched = await http_channels.fetch(
+        fetched = await http_connections.fetch(
             self.pool, address, payload, timeout_s, MAX_SMALL_RESPONSE_BYTES
         )
-        if fetched.outcome is not http_channels.Outcome.WHOLE:
+        if fetched.outcome is not http_connections.Outcome.WHOLE:
             return None
         return fetched
 
@@ -235,13 +235,13 @@
             ("Content-Type", "application/json"),
             ("X-Expect-Instance", lifetimes.engine_name(instance)),
         ]
-        payload = http_channels.request_bytes(
+        payload = http_connections.request_bytes(
             "POST", names.ENGINE_ORDER, headers, json.dumps(order).encode()
         )
-        fetched = await http_channels.fetch(
+        fetched = await http_connections.fetch(
             self.pool, address, payload, timeout_s, MAX_SMALL_RESPONSE_BYTES
         )
-        if fetched.outcome is http_channels.Outcome.NOT_SENT:
+        if fetched.outcome is http_connections.Outcome.NOT_SENT:
             return path_engines.OrderAnswer(path_engines.OrderOutcome.REFUSED)
         if fetched.head is None:
             return path_engines.OrderAnswer(path_engines.OrderOutcome.UNKNOWN)
@@ -255,7 +255,7 @@
 
 
 def create_platform_engines(
-    pool: http_channels.ConnectionPool,
+    pool: http_connections.ConnectionPool,
 ) -> PlatformEngines:
     """Creates a client that uses a pool of connections."""
     return PlatformEngines(pool)
@@ -286,7 +286,7 @@
     return headers
 
 
-def decode_head(head: http_channels.ResponseHead) -> relayed.ForwardedHead:
+def decode_head(head: http_connections.ResponseHead) -> relayed.ForwardedHead:
     """Translates the head of a response."""
     return relayed.ForwardedHead(
         status=head.status,
--- a/src/almondshift/platform/store.py
+++ b/src/almondshift/platform/store.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from almondshift import errors
-from almondshift.adapters import http_channels
+from almondshift.adapters import http_connections
 from almondshift.platform import names
 from almondshift.ports import row_feeds
 from almondshift.ports import stores
@@ -70,7 +70,7 @@
     """
 
     def __init__(
-        self, address: str, pool: http_channels.ConnectionPool
+        self, address: str, pool: http_connections.ConnectionPool
     ) -> None:
         self.address = address
         self.pool = pool
@@ -107,7 +107,7 @@
         """Applies all writes or none."""
         body = json.dumps(_encode_transaction(writes)).encode()
         fetched = await self._call("POST", names.ROWS_WRITE, body)
-        if fetched.outcome is not http_channels.Outcome.WHOLE:
+        if fetched.outcome is not http_connections.Outcome.WHOLE:
             return expression.Error(_transport_error(fetched, changes=True))
         assert fetched.head is not None
         status = fetched.head.status
@@ -171,7 +171,7 @@
     ) -> expression.Result[WireRows, stores.StoreError]:
         target = f"{path}?{parse.urlencode(query)}"
         fetched = await self._call("GET", target, b"", timeout_s)
-        if fetched.outcome is not http_channels.Outcome.WHOLE:
+        if fetched.outcome is not http_connections.Outcome.WHOLE:
             return expression.Error(_transport_error(fetched, changes=False))
         assert fetched.head is not None
         if fetched.head.status == STATUS_HISTORY_GONE:
@@ -193,13 +193,13 @@
         target: str,
         body: bytes,
         timeout_s: float = CALL_TIMEOUT_S,
-    ) -> http_channels.FetchResult:
+    ) -> http_connections.FetchResult:
         self.calls += 1
         headers = [("Host", self.address)]
         if body:
             headers.append(("Content-Type", "application/json"))
-        payload = http_channels.request_bytes(method, target, headers, body)
-        return await http_channels.fetch(
+        payload = http_connections.request_bytes(method, target, headers, body)
+        return await http_connections.fetch(
             self.pool, self.address, payload, timeout_s, MAX_RESPONSE_BYTES
         )
 
@@ -209,7 +209,7 @@
 
 
 def create_platform_store(
-    address: str, pool: http_channels.ConnectionPool
+    address: str, pool: http_connections.ConnectionPool
 ) -> PlatformStore:
     """Creates a client of the store at ``host:port``."""
     return PlatformStore(address, pool)
@@ -264,7 +264,7 @@
 
 
 def _transport_error(
-    fetched: http_channels.FetchResult, changes: bool
+    fetched: http_connections.FetchResult, changes: bool
 ) -> stores.StoreError:
     if changes and fetched.sent:
         return errors.StoreOutcomeUnknown(f"No response: {fetched.reason}.")
--- a/src/almondshift/policy/baseline.py
+++ b/src/almondshift/policy/baseline.py
@@ -18,7 +18,7 @@
 from almondshift.model import layers
 from almondshift.policy import actions
 from almondshift.policy import events
-from almondshift.policy import routers
+from almondshift.policy import router_interface
 from almondshift.policy import topology
 
 if TYPE_CHECKING:
@@ -41,7 +41,7 @@
         return name
 
 
-class BaselineRouter(routers.Router):
+class BaselineRouter(router_interface.Router):
     """Round robin over complete chains, with no limit of any kind."""
 
     def __init__(self, rng: random.Random) -> None:
@@ -192,6 +192,6 @@
         return self._round_robins.setdefault(key, _RoundRobin())
 
 
-def create_baseline_router(rng: random.Random) -> routers.Router:
+def create_baseline_router(rng: random.Random) -> router_interface.Router:
     """Returns the baseline router; ``rng`` only jitters Retry-After."""
     return BaselineRouter(rng)
--- a/src/almondshift/policy/chain_choice.py
+++ b/src/almondshift/policy/chain_choice.py
@@ -30,7 +30,7 @@
 from almondshift.policy import engine_rates
 from almondshift.policy import long_jobs as long_jobs_module
 from almondshift.policy import pools
-from almondshift.policy import spreading
+from almondshift.policy import prefix_hints
 from almondshift.policy import topology as topologies
 
 if TYPE_CHECKING:
@@ -124,7 +124,7 @@
         topology: topologies.Topology,
         health: ejection.Ejection,
         long_jobs: long_jobs_module.LongJobs,
-        hints: spreading.PrefixHints,
+        hints: prefix_hints.PrefixHints,
     ) -> None:
         self.rng = rng
         self.zone = zone
--- a/src/almondshift/policy/layer_plan.py
+++ b/src/almondshift/policy/layer_plan.py
@@ -25,7 +25,7 @@
 from almondshift.model import layers as model_layers
 from almondshift.policy import layer_copies
 from almondshift.policy import layer_holdings
-from almondshift.policy import layer_spread
+from almondshift.policy import layer_rebalancing
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -266,9 +266,11 @@
     if not is_busy:
         is_broken = bool(_holes(group, held, spec.layers))
         if is_broken or (
-            not orders and layer_spread.is_unbalanced(group, held, spec)
+            not orders and layer_rebalancing.is_unbalanced(group, held, spec)
         ):
-            orders.update(layer_spread.rebalance(group, held, spec, is_broken))
+            orders.update(
+                layer_rebalancing.rebalance(group, held, spec, is_broken)
+            )
         elif not orders:
             change = layer_copies.improve(group, held, spec)
             if change is not None:
--- a/src/almondshift/policy/path_candidates.py
+++ b/src/almondshift/policy/path_candidates.py
@@ -20,7 +20,7 @@
 
     from almondshift.model import engine_specs
     from almondshift.model import registered_engines
-    from almondshift.policy import engine_book
+    from almondshift.policy import engine_tracker
 
 LARGE_GROUP_JITTER = 0.5
 """Maximum relative random increase of each engine's cost in large groups, where
@@ -75,7 +75,7 @@
     """
 
     def __init__(
-        self, tracker: engine_book.EngineTracker, rng: random.Random
+        self, tracker: engine_tracker.EngineTracker, rng: random.Random
     ) -> None:
         self.tracker = tracker
         self.rng = rng
--- a/src/almondshift/policy/path_choice.py
+++ b/src/almondshift/policy/path_choice.py
@@ -19,7 +19,7 @@
 
 from almondshift.model import relayed
 from almondshift.policy import capacity_shares
-from almondshift.policy import engine_book
+from almondshift.policy import engine_tracker
 from almondshift.policy import path_candidates
 from almondshift.policy import path_search
 from almondshift.policy import pooled_load
@@ -73,7 +73,7 @@
     """
 
     path: relayed.Path
-    used: tuple[engine_book.UsedPart, ...]
+    used: tuple[engine_tracker.UsedPart, ...]
     zone: str
     cost_ms: float
     load: float
@@ -92,7 +92,7 @@
     """
 
     def __init__(
-        self, tracker: engine_book.EngineTracker, rng: random.Random
+        self, tracker: engine_tracker.EngineTracker, rng: random.Random
     ) -> None:
         self.tracker = tracker
         self.rng = rng
@@ -324,7 +324,7 @@
             for p in found.parts
         ),
         used=tuple(
-            engine_book.UsedPart(p.candidate.instance, p.end - p.start)
+            engine_tracker.UsedPart(p.candidate.instance, p.end - p.start)
             for p in found.parts
         ),
         zone=found.parts[0].candidate.zone,
@@ -339,7 +339,7 @@
 
 
 def create_path_chooser(
-    tracker: engine_book.EngineTracker, rng: random.Random
+    tracker: engine_tracker.EngineTracker, rng: random.Random
 ) -> PathChooser:
     """Creates a chooser that uses the given engine states."""
     return PathChooser(tracker, rng)
--- a/src/almondshift/policy/pooled_load.py
+++ b/src/almondshift/policy/pooled_load.py
@@ -26,7 +26,7 @@
     from collections.abc import Iterable
     from collections.abc import Mapping
 
-    from almondshift.policy import engine_book
+    from almondshift.policy import engine_tracker
 
 MANY_NODES = 16
 """Number of nodes above which a node pools its requests."""
@@ -160,7 +160,7 @@
 
     def __init__(
         self,
-        tracker: engine_book.EngineTracker,
+        tracker: engine_tracker.EngineTracker,
         shares: Mapping[str, EngineShare],
         layers: int,
         nodes: int,
--- a/src/almondshift/policy/router.py
+++ b/src/almondshift/policy/router.py
@@ -26,11 +26,11 @@
 from almondshift.policy import lanes as lanes_module
 from almondshift.policy import long_jobs
 from almondshift.policy import plain_choice
+from almondshift.policy import prefix_hints
 from almondshift.policy import recovery
 from almondshift.policy import retry_after
 from almondshift.policy import retry_budget
-from almondshift.policy import routers
-from almondshift.policy import spreading
+from almondshift.policy import router_interface
 from almondshift.policy import topology
 
 if TYPE_CHECKING:
@@ -63,7 +63,7 @@
     in_flight: dict[str, int]
 
 
-class LoadRouter(routers.Router):
+class LoadRouter(router_interface.Router):
     """The production router."""
 
     def __init__(
@@ -74,7 +74,7 @@
         self.topology = topology.create_topology()
         self.health = ejection.Ejection()
         self.long_jobs = long_jobs.LongJobs(settings.long_tokens)
-        self.hints = spreading.PrefixHints()
+        self.hints = prefix_hints.PrefixHints()
         self.chooser = chain_choice.ChainChooser(
             rng,
             settings.zone,
--- a/src/almondshift/policy/zone_paths.py
+++ b/src/almondshift/policy/zone_paths.py
@@ -13,7 +13,7 @@
 
 from typing import TYPE_CHECKING
 
-from almondshift.policy import engine_book
+from almondshift.policy import engine_tracker
 from almondshift.policy import path_search
 
 if TYPE_CHECKING:
@@ -44,7 +44,7 @@
         if best is None:
             best = _zone_path(candidates, zone, layers, tokens)
             if best is not None:
-                cost_ms = best.cost_ms * engine_book.SLOW_PACE
+                cost_ms = best.cost_ms * engine_tracker.SLOW_PACE
                 best = path_search.FoundPath(best.parts, cost_ms)
         if best is None:
             continue
--- a/src/almondshift/relay/application.py
+++ b/src/almondshift/relay/application.py
@@ -14,7 +14,7 @@
 from almondshift.coordination import peer_types
 from almondshift.policy import answer_times
 from almondshift.policy import endpoint_choice
-from almondshift.policy import engine_book
+from almondshift.policy import engine_tracker
 from almondshift.policy import feed_readers
 from almondshift.policy import first_event_wait
 from almondshift.policy import group_size
@@ -137,7 +137,7 @@
         self.settings = settings
         self.ports = ports
         self.catalogue = catalogue.Catalogue(ports.decoders, ports.config_key)
-        self.tracker = engine_book.EngineTracker()
+        self.tracker = engine_tracker.EngineTracker()
         self.feed = shared_feed.create_shared_feed(
             ports.feed, ports.clock, ports.rng
         )
@@ -391,7 +391,7 @@
             logger, log_events.EndpointRestarted(engine.instance, "registry")
         )
         self.silence.moves.engine_lost(
-            engine.instance, engine_book.Suspicion.GONE
+            engine.instance, engine_tracker.Suspicion.GONE
         )
         self.ports.engines.forget(engine.address)
 
--- a/src/almondshift/relay/context.py
+++ b/src/almondshift/relay/context.py
@@ -11,7 +11,7 @@
 
     from almondshift.policy import answer_times
     from almondshift.policy import endpoint_choice
-    from almondshift.policy import engine_book
+    from almondshift.policy import engine_tracker
     from almondshift.policy import first_event_wait
     from almondshift.policy import path_choice
     from almondshift.policy import repeat_budget
@@ -44,7 +44,7 @@
     rng: random.Random
     catalogue: catalogue.Catalogue
     engines: path_engines.PathEngines
-    tracker: engine_book.EngineTracker
+    tracker: engine_tracker.EngineTracker
     paths: path_choice.PathChooser
     endpoints: endpoint_choice.EndpointChooser
     budget: repeat_budget.RepeatBudget
--- a/src/almondshift/relay/engine_questions.py
+++ b/src/almondshift/relay/engine_questions.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING
 
 from almondshift import log_events
-from almondshift.policy import engine_book
+from almondshift.policy import engine_tracker
 from almondshift.policy import pooled_load
 
 if TYPE_CHECKING:
@@ -88,7 +88,7 @@
             log_events.emit(
                 logger, log_events.EndpointRestarted(instance, "report")
             )
-            self.moves.engine_lost(instance, engine_book.Suspicion.GONE)
+            self.moves.engine_lost(instance, engine_tracker.Suspicion.GONE)
         return None
 
     def query_paces(self, parts: dict[str, relayed.PathPart]) -> None:
@@ -150,7 +150,9 @@
             # Retried at once: the connection alone may have failed.
             report = await self.report(instance, address)
         if report is None:
-            self.moves.engine_lost(instance, engine_book.Suspicion.UNREACHABLE)
+            self.moves.engine_lost(
+                instance, engine_tracker.Suspicion.UNREACHABLE
+            )
             return
         now = self.shared.clock.monotonic()
         self.shared.tracker.note_used(instance, report.used, now)
@@ -164,8 +166,8 @@
                 self.shared.tracker.forget(instance)
                 continue
             state = self.shared.tracker.state(instance)
-            drains = state.reason is engine_book.Suspicion.DRAINING
-            gap_s = engine_book.SUSPECT_S if drains else SUSPECT_QUERY_GAP_S
+            drains = state.reason is engine_tracker.Suspicion.DRAINING
+            gap_s = engine_tracker.SUSPECT_S if drains else SUSPECT_QUERY_GAP_S
             state.suspect_until = now + gap_s
             self.work.run(self.query_suspect(engine, drains))
 
@@ -182,5 +184,7 @@
             return
         self.shared.tracker.clear_suspicion(engine.instance)
         self.shared.observer.emit(
-            log_events.EndpointRestored(engine.instance, engine_book.SUSPECT_S)
+            log_events.EndpointRestored(
+                engine.instance, engine_tracker.SUSPECT_S
+            )
         )
--- a/src/almondshift/relay/lost_engines.py
+++ b/src/almondshift/relay/lost_engines.py
@@ -16,7 +16,7 @@
 from typing import TYPE_CHECKING
 
 from almondshift import log_events
-from almondshift.policy import engine_book
+from almondshift.policy import engine_tracker
 from almondshift.ports import peers
 
 if TYPE_CHECKING:
@@ -29,9 +29,9 @@
     from almondshift.relay import observer
 
 FACT_KINDS = {
-    engine_book.Suspicion.UNREACHABLE: peers.FactKind.ENGINE_LOST,
-    engine_book.Suspicion.STALLED: peers.FactKind.ENGINE_LOST,
-    engine_book.Suspicion.DRAINING: peers.FactKind.LEAVING,
+    engine_tracker.Suspicion.UNREACHABLE: peers.FactKind.ENGINE_LOST,
+    engine_tracker.Suspicion.STALLED: peers.FactKind.ENGINE_LOST,
+    engine_tracker.Suspicion.DRAINING: peers.FactKind.LEAVING,
 }
 """Kind of the fact that is published for a suspicion. Others are not published:
 the registry tells peers which engines are gone, and whether an engine refuses
@@ -53,7 +53,7 @@
         self,
         clock: clocks.Clock,
         registry: catalogue.Catalogue,
-        tracker: engine_book.EngineTracker,
+        tracker: engine_tracker.EngineTracker,
         relay_observer: observer.RelayObserver,
     ) -> None:
         self.clock = clock
@@ -71,22 +71,22 @@
         self.group = node_group
         node_group.subscribe_facts(peers.FactKind.ENGINE_LOST, self.handle_fact)
 
-    def suspect(self, instance: str, reason: engine_book.Suspicion) -> None:
+    def suspect(self, instance: str, reason: engine_tracker.Suspicion) -> None:
         """Ejects an engine for a while, and notifies peers.
 
         An engine that accepts no connections but still sends events is not
         dead: it closed its port to drain. Peers verify this themselves.
         """
         kind = FACT_KINDS.get(reason)
-        if reason is engine_book.Suspicion.UNREACHABLE and self.is_streaming(
+        if reason is engine_tracker.Suspicion.UNREACHABLE and self.is_streaming(
             instance
         ):
-            reason = engine_book.Suspicion.DRAINING
+            reason = engine_tracker.Suspicion.DRAINING
         if not self.tracker.suspect(instance, reason, self.clock.monotonic()):
             return
         self.observer.emit(
             log_events.EndpointEjected(
-                instance, reason.value, engine_book.SUSPECT_S
+                instance, reason.value, engine_tracker.SUSPECT_S
             )
         )
         if self.group is None or kind is None:
@@ -94,7 +94,7 @@
         if not self.group.is_published(kind, instance):
             value = f'"{reason.value}"'.encode()
             self.group.publish_fact(
-                kind, instance, value, engine_book.SUSPECT_S
+                kind, instance, value, engine_tracker.SUSPECT_S
             )
 
     def handle_fact(self, key: str, fact: peers.Fact | None) -> None:
@@ -111,7 +111,7 @@
 def create_lost_engines(
     clock: clocks.Clock,
     registry: catalogue.Catalogue,
-    tracker: engine_book.EngineTracker,
+    tracker: engine_tracker.EngineTracker,
     relay_observer: observer.RelayObserver,
 ) -> LostEngines:
     """Creates an exchange of dead engines; ``join`` connects it to peers."""
--- a/src/almondshift/relay/path_probe.py
+++ b/src/almondshift/relay/path_probe.py
@@ -18,7 +18,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from almondshift.policy import engine_book
+from almondshift.policy import engine_tracker
 from almondshift.policy import pooled_load
 from almondshift.policy import probe_timing
 
@@ -186,7 +186,9 @@
         limit_s = SECOND_QUERY_S + 2 * QUERY_TIMEOUT_S + MAX_OVERRUN_S
         if self.loop.time() - self.started_at > limit_s:
             return
-        self.moves.engine_lost(part.instance, engine_book.Suspicion.UNREACHABLE)
+        self.moves.engine_lost(
+            part.instance, engine_tracker.Suspicion.UNREACHABLE
+        )
         if self.shared.tracker.is_lost(part.instance):
             self.lost.append(part.instance)
 
--- a/src/almondshift/relay/plain_run.py
+++ b/src/almondshift/relay/plain_run.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from almondshift.model import relayed
-from almondshift.policy import engine_book
+from almondshift.policy import engine_tracker
 from almondshift.ports import path_engines
 from almondshift.relay import runs
 
@@ -202,7 +202,7 @@
         now = self.shared.clock.monotonic()
         if head.status == 421:
             self.shared.tracker.suspect(
-                instance, engine_book.Suspicion.GONE, now
+                instance, engine_tracker.Suspicion.GONE, now
             )
         self.shared.endpoints.failed(instance, now)
         self.retry_or_end(
--- a/src/almondshift/relay/refusing_engines.py
+++ b/src/almondshift/relay/refusing_engines.py
@@ -16,7 +16,7 @@
 import math
 from typing import TYPE_CHECKING
 
-from almondshift.policy import engine_book
+from almondshift.policy import engine_tracker
 from almondshift.ports import peers
 from almondshift.relay import background
 
@@ -48,7 +48,7 @@
         self,
         clock: clocks.Clock,
         registry: catalogue.Catalogue,
-        tracker: engine_book.EngineTracker,
+        tracker: engine_tracker.EngineTracker,
         engines: path_engines.PathEngines,
         lost: lost_engines.LostEngines,
     ) -> None:
@@ -97,7 +97,7 @@
         if await self.is_healthy(engine) is not False:
             return
         if not self.tracker.is_suspect(engine.instance):
-            reason = engine_book.Suspicion.DRAINING
+            reason = engine_tracker.Suspicion.DRAINING
             self.lost.suspect(engine.instance, reason)
 
     async def is_healthy(
@@ -120,7 +120,7 @@
 def create_refusing_engines(
     clock: clocks.Clock,
     registry: catalogue.Catalogue,
-    tracker: engine_book.EngineTracker,
+    tracker: engine_tracker.EngineTracker,
     engines: path_engines.PathEngines,
     lost: lost_engines.LostEngines,
 ) -> RefusingEngines:
--- a/src/almondshift/relay/silence_watch.py
+++ b/src/almondshift/relay/silence_watch.py
@@ -13,7 +13,7 @@
 
 from almondshift import log_events
 from almondshift.model import relayed
-from almondshift.policy import engine_book
+from almondshift.policy import engine_tracker
 from almondshift.relay import background
 from almondshift.relay import engine_questions
 from almondshift.relay import path_probe
@@ -151,7 +151,7 @@
             engine = self.shared.catalogue.by_address(address)
             if engine is not None:
                 self.moves.engine_lost(
-                    engine.instance, engine_book.Suspicion.STALLED
+                    engine.instance, engine_tracker.Suspicion.STALLED
                 )
         if not addresses:
             self.questions.query_paces(self.silent_parts(first))
@@ -163,7 +163,7 @@
         if count >= MAX_UNANSWERED:
             self.unanswered.pop(first.instance, None)
             self.moves.engine_lost(
-                first.instance, engine_book.Suspicion.UNREACHABLE
+                first.instance, engine_tracker.Suspicion.UNREACHABLE
             )
 
     def silent_parts(
--- a/src/almondshift/relay/stream_moves.py
+++ b/src/almondshift/relay/stream_moves.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from almondshift import log_events
-from almondshift.policy import engine_book
+from almondshift.policy import engine_tracker
 from almondshift.relay import path_probe
 from almondshift.relay import stream_run
 
@@ -62,7 +62,9 @@
             if isinstance(run, stream_run.StreamRun)
         ]
 
-    def engine_lost(self, instance: str, reason: engine_book.Suspicion) -> None:
+    def engine_lost(
+        self, instance: str, reason: engine_tracker.Suspicion
+    ) -> None:
         """Ejects an engine that seems dead, and moves all streams off it."""
         self.shared.lost.suspect(instance, reason)
         if not self.shared.tracker.is_lost(instance):
@@ -74,7 +76,7 @@
             if any(part.instance == instance for part in attempt.path):
                 self.shared.crashes.note_broken(run.routed, run.sends, instance)
             if attempt.first.instance == instance:
-                is_gone = reason is engine_book.Suspicion.GONE
+                is_gone = reason is engine_tracker.Suspicion.GONE
                 run.resume_elsewhere("first engine lost", is_gone)
         self.move_from(instance, is_forced=True)
 
@@ -123,7 +125,7 @@
         """
         self.shared.observer.emit(
             log_events.EndpointEjected(
-                instance, f"slow by {pace:.1f}", engine_book.PACE_VALID_S
+                instance, f"slow by {pace:.1f}", engine_tracker.PACE_VALID_S
             )
         )
         self.move_from(instance, is_forced=False)
--- a/src/almondshift/relay/stream_run.py
+++ b/src/almondshift/relay/stream_run.py
@@ -7,7 +7,7 @@
 from almondshift import errors
 from almondshift import log_events
 from almondshift.model import relayed
-from almondshift.policy import engine_book
+from almondshift.policy import engine_tracker
 from almondshift.ports import path_engines
 from almondshift.relay import runs
 from almondshift.relay import stream_attempt
@@ -269,7 +269,7 @@
             )
         elif ending is path_engines.Ending.NOT_SENT:
             self.shared.lost.suspect(
-                attempt.first.instance, engine_book.Suspicion.UNREACHABLE
+                attempt.first.instance, engine_tracker.Suspicion.UNREACHABLE
             )
         self.retry_or_end(attempt, reason, is_not_run)
 
@@ -316,7 +316,7 @@
                 continue
             if head.status == 421:
                 self.shared.lost.suspect(
-                    part.instance, engine_book.Suspicion.REFUSED
+                    part.instance, engine_tracker.Suspicion.REFUSED
                 )
             else:
                 self.note_refused(part.instance, part.address)
--- a/tests/adapters/test_http_channels.py
+++ b/tests/adapters/test_http_connections.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from almondshift.adapters import http_channels
+from almondshift.adapters import http_connections
 from tests import asynchronous
 
 Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
@@ -63,33 +63,33 @@
             return
 
 
-class Listener(http_channels.CallListener):
+class Listener(http_connections.CallListener):
     def __init__(self) -> None:
         self.body = b""
         self.status = 0
-        self.ended: asyncio.Future[http_channels.Outcome] = (
+        self.ended: asyncio.Future[http_connections.Outcome] = (
             asyncio.get_running_loop().create_future()
         )
         self.ends = 0
 
-    def on_head(self, head: http_channels.ResponseHead) -> None:
+    def on_head(self, head: http_connections.ResponseHead) -> None:
         self.status = head.status
 
     def on_data(self, data: bytes) -> None:
         self.body += data
 
-    def on_end(self, outcome: http_channels.Outcome, reason: str) -> None:
+    def on_end(self, outcome: http_connections.Outcome, reason: str) -> None:
         self.ends += 1
         if not self.ended.done():
             self.ended.set_result(outcome)
 
 
-PAYLOAD = http_channels.request_bytes("POST", "/x", [("Host", "h")], b"")
+PAYLOAD = http_connections.request_bytes("POST", "/x", [("Host", "h")], b"")
 
 
 async def call(
-    pool: http_channels.ConnectionPool, address: str
-) -> tuple[http_channels.Outcome, Listener, http_channels.Call]:
+    pool: http_connections.ConnectionPool, address: str
+) -> tuple[http_connections.Outcome, Listener, http_connections.Call]:
     listener = Listener()
     made = pool.call(address, PAYLOAD, listener, "r1")
     outcome = await asyncio.wait_for(listener.ended, 3)
@@ -127,11 +127,11 @@
 ) -> None:
     server = Server([answer], end == "reset", end == "close")
     await server.start()
-    pool = http_channels.create_connection_pool()
+    pool = http_connections.create_connection_pool()
     found, listener, made = await call(pool, server.address)
     assert found.name == outcome
     assert made.sent
-    if found is http_channels.Outcome.WHOLE:
+    if found is http_connections.Outcome.WHOLE:
         assert (listener.status, listener.body) == (200, b"abc")
     await asyncio.sleep(0.02)
     assert bool(pool.idle.get(server.address)) is kept
@@ -146,9 +146,9 @@
     assert server.server is not None
     server.server.close()
     await server.server.wait_closed()
-    pool = http_channels.create_connection_pool()
+    pool = http_connections.create_connection_pool()
     found, _, made = await call(pool, server.address)
-    assert found is http_channels.Outcome.NOT_SENT
+    assert found is http_connections.Outcome.NOT_SENT
     assert not made.sent
 
 
@@ -161,10 +161,10 @@
     """
     server = Server([LENGTH_3])
     await server.start()
-    pool = http_channels.create_connection_pool()
+    pool = http_connections.create_connection_pool()
     assert (await call(pool, server.address))[0].name == "WHOLE"
     found, _, made = await call(pool, server.address)
-    assert found is http_channels.Outcome.BROKEN
+    assert found is http_connections.Outcome.BROKEN
     assert made.sent
     assert made.reused
     assert server.requests == 2
@@ -179,12 +179,12 @@
     """
     server = Server([LENGTH_3 + b"", LENGTH_3])
     await server.start()
-    pool = http_channels.create_connection_pool()
+    pool = http_connections.create_connection_pool()
     await call(pool, server.address)
     [connection] = pool.idle[server.address]
     connection.data_received(LENGTH_3)
     found, _, made = await call(pool, server.address)
-    assert found is http_channels.Outcome.WHOLE
+    assert found is http_connections.Outcome.WHOLE
     assert not made.reused
 
 
@@ -192,7 +192,7 @@
 async def test_cancel_closes_connection_without_end_event() -> None:
     server = Server([OK + b"Content-Length: 9\r\n\r\nabc"])
     await server.start()
-    pool = http_channels.create_connection_pool()
+    pool = http_connections.create_connection_pool()
     listener = Listener()
     made = pool.call(server.address, PAYLOAD, listener, "r1")
     await asynchronous.wait_until(lambda: listener.body == b"abc")
@@ -205,25 +205,25 @@
 @pytest.mark.parametrize(
     ("written", "seconds"),
     [
-        (None, http_channels.DEFAULT_IDLE_S),
+        (None, http_connections.DEFAULT_IDLE_S),
         ("timeout=5", 4.5),
         ("max=3, timeout=2", 1.5),
         ("timeout=0", 0.0),
-        ("timeout=x", http_channels.DEFAULT_IDLE_S),
+        ("timeout=x", http_connections.DEFAULT_IDLE_S),
     ],
 )
 def test_idle_seconds(written: str | None, seconds: float) -> None:
     fields = [("keep-alive", written)] if written else []
-    head = http_channels.ResponseHead(200, fields)
-    assert http_channels.idle_seconds(head) == seconds
+    head = http_connections.ResponseHead(200, fields)
+    assert http_connections.idle_seconds(head) == seconds
 
 
 @pytest.mark.parametrize("value", ["a\r\nX: y", "a\nb", "\r"])
 def test_fields_with_line_breaks_are_never_sent(value: str) -> None:
     with pytest.raises(ValueError, match="line break"):
-        http_channels.request_bytes("GET", "/", [("X", value)], b"")
+        http_connections.request_bytes("GET", "/", [("X", value)], b"")
     with pytest.raises(ValueError, match="line break"):
-        http_channels.request_bytes("GET", "/" + value, [], b"")
+        http_connections.request_bytes("GET", "/" + value, [], b"")
 
 
 @asynchronous.run
@@ -234,12 +234,12 @@
     """
     server = Server([LENGTH_3[:-3]])
     await server.start()
-    pool = http_channels.create_connection_pool()
+    pool = http_connections.create_connection_pool()
     listener = Listener()
-    payload = http_channels.request_bytes("HEAD", "/x", [("Host", "h")], b"")
+    payload = http_connections.request_bytes("HEAD", "/x", [("Host", "h")], b"")
     pool.call(server.address, payload, listener, "r1")
     outcome = await asyncio.wait_for(listener.ended, 1)
-    assert outcome is http_channels.Outcome.WHOLE
+    assert outcome is http_connections.Outcome.WHOLE
     assert (listener.status, listener.body) == (200, b"")
     assert not pool.idle.get(server.address)
     pool.close()
--- a/tests/platform/test_decode.py
+++ b/tests/platform/test_decode.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies
 import pytest
 
-from almondshift.adapters import http_channels
+from almondshift.adapters import http_connections
 from almondshift.model import layers
 from almondshift.model import relayed
 from almondshift.model import routes
@@ -195,7 +195,7 @@
     status: int, fields: list[tuple[str, str]], genuine: bool, not_run: bool
 ) -> None:
     head = engines.decode_head(
-        http_channels.ResponseHead(
+        http_connections.ResponseHead(
             status, [*fields, ("keep-alive", "timeout=1")]
         )
     )
--- a/tests/platform/test_draining_engines.py
+++ b/tests/platform/test_draining_engines.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from almondshift.policy import engine_book
+from almondshift.policy import engine_tracker
 from tests.platform import standin_system as system
 from tests.platform import test_whole_system as whole
 
@@ -67,7 +67,7 @@
             assert (await whole.chat(running, "r1"))[0] == 503
             for engine in running.engines.values():
                 engine.is_full = False
-            await asyncio.sleep(2 * engine_book.FULL_S)
+            await asyncio.sleep(2 * engine_tracker.FULL_S)
             tracker = running.nodes[0].node.shared.tracker
             assert not any(tracker.is_suspect(name) for name in running.engines)
             assert (await whole.chat(running, "r2"))[0] == 200
@@ -151,7 +151,7 @@
             running.engines["a1"].is_draining = False
             tracker.state("a1").suspect_until = 0.0
             await running.until(lambda: not tracker.is_suspect("a1"), 1.0)
-            await asyncio.sleep(engine_book.FULL_S)
+            await asyncio.sleep(engine_tracker.FULL_S)
             assert (await whole.chat(running, "r2"))[0] == 200
 
     asyncio.run(scenario())
--- a/tests/platform/test_full_engines.py
+++ b/tests/platform/test_full_engines.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from almondshift.policy import engine_book
+from almondshift.policy import engine_tracker
 from almondshift.policy import repeat_budget
 from almondshift.relay import runs
 from tests.platform import standin_system as system
@@ -70,7 +70,7 @@
                 answer = await whole.chat(running, request_id)
                 ran = whole.times_run(running, request_id)
                 assert answer[0] == (502 if ran else 503)
-                await asyncio.sleep(engine_book.FULL_S)
+                await asyncio.sleep(engine_tracker.FULL_S)
             assert any(engine.ran for engine in running.engines.values())
 
     asyncio.run(scenario())
--- a/tests/platform/test_fuzzed_borders.py
+++ b/tests/platform/test_fuzzed_inputs.py
@@ -14,7 +14,7 @@
 from tornado import httputil
 
 from almondshift import errors
-from almondshift.adapters import http_channels
+from almondshift.adapters import http_connections
 from almondshift.model import relayed
 from almondshift.model import routing_config
 from almondshift.platform import engines
@@ -187,20 +187,20 @@
         front.decode_request(line, headers, b"")
 
 
-class CollectingListener(http_channels.CallListener):
+class CollectingListener(http_connections.CallListener):
     def __init__(self) -> None:
         self.heads = 0
         self.body = b""
-        self.ends: list[http_channels.Outcome] = []
+        self.ends: list[http_connections.Outcome] = []
 
-    def on_head(self, head: http_channels.ResponseHead) -> None:
+    def on_head(self, head: http_connections.ResponseHead) -> None:
         self.heads += 1
         engines.decode_head(head)
 
     def on_data(self, data: bytes) -> None:
         self.body += data
 
-    def on_end(self, outcome: http_channels.Outcome, reason: str) -> None:
+    def on_end(self, outcome: http_connections.Outcome, reason: str) -> None:
         self.ends.append(outcome)
 
 
@@ -208,11 +208,11 @@
     parts: list[bytes], ends_with_eof: bool
 ) -> CollectingListener:
     """Feeds a response to a connection in parts, without a socket."""
-    pool = http_channels.create_connection_pool()
-    connection = http_channels.Connection(pool, "h:1")
+    pool = http_connections.create_connection_pool()
+    connection = http_connections.Connection(pool, "h:1")
     connection.transport = FakeTransport()
     listener = CollectingListener()
-    call = http_channels.Call(listener, b"", "r1")
+    call = http_connections.Call(listener, b"", "r1")
     connection.send(call)
     for part in parts:
         connection.data_received(part)
@@ -276,19 +276,19 @@
     """
     field = b"X-Filler: " + b"a" * 5_000 + b"\r\n"
     parts = [b"HTTP/1.1 200 OK\r\n", *[field] * 20]
-    pool = http_channels.create_connection_pool()
-    connection = http_channels.Connection(pool, "h:1")
+    pool = http_connections.create_connection_pool()
+    connection = http_connections.Connection(pool, "h:1")
     connection.transport = FakeTransport()
     listener = CollectingListener()
-    connection.send(http_channels.Call(listener, b"", "r1"))
+    connection.send(http_connections.Call(listener, b"", "r1"))
     fed = 0
     for part in parts:
         connection.data_received(part)
         fed += len(part)
         if listener.ends:
             break
-    assert listener.ends == [http_channels.Outcome.SPOILT]
-    assert fed < 2 * http_channels.MAX_HEAD_BYTES
+    assert listener.ends == [http_connections.Outcome.SPOILT]
+    assert fed < 2 * http_connections.MAX_HEAD_BYTES
 
 
 def test_an_invalid_row_does_not_block_the_others() -> None:
@@ -315,18 +315,18 @@
 
     async def scenario() -> None:
         class FixedResponseStore(store.PlatformStore):
-            async def _call(self, *args: Any) -> http_channels.FetchResult:
+            async def _call(self, *args: Any) -> http_connections.FetchResult:
                 del args
-                return http_channels.FetchResult(
-                    http_channels.Outcome.WHOLE,
+                return http_connections.FetchResult(
+                    http_connections.Outcome.WHOLE,
                     "",
                     True,
-                    http_channels.ResponseHead(200, []),
+                    http_connections.ResponseHead(200, []),
                     content,
                 )
 
         store_client = FixedResponseStore(
-            "h:1", http_channels.create_connection_pool()
+            "h:1", http_connections.create_connection_pool()
         )
         whole: expression.Result[Any, Any] = await store_client.read_whole("t")
         changes = await store_client.wait_for_changes("t", 0, 0.0)
--- a/tests/platform/test_restarts_and_clocks.py
+++ b/tests/platform/test_restarts_and_clocks.py
@@ -211,7 +211,7 @@
             shared = running.nodes[1].node.shared
             now = shared.clock.monotonic()
             shared.tracker.suspect(
-                "a1", whole.engine_book.Suspicion.STALLED, now
+                "a1", whole.engine_tracker.Suspicion.STALLED, now
             )
             addresses = [p.settings.metrics.address for p in running.nodes]
             client = console_nodes.create_client(
--- a/tests/platform/test_whole_system.py
+++ b/tests/platform/test_whole_system.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from almondshift.policy import engine_book
+from almondshift.policy import engine_tracker
 from tests.platform import standin_system as system
 
 WHOLE = [f"token {number}" for number in range(1, 21)]
@@ -419,7 +419,9 @@
             known = shared.catalogue.engines
             await running.until(lambda: {"a7", "a8", "a9"} <= known.keys())
             for zone_b in ("b0", "b1", "b2", "b3"):
-                shared.tracker.suspect(zone_b, engine_book.Suspicion.GONE, 1e12)
+                shared.tracker.suspect(
+                    zone_b, engine_tracker.Suspicion.GONE, 1e12
+                )
             stream = asyncio.create_task(chat(running, "r1"))
             await running.until(lambda: times_run(running, "r1") == 1)
             await asyncio.sleep(0.2)
--- a/tests/policy/fleets.py
+++ b/tests/policy/fleets.py
@@ -10,7 +10,7 @@
 from almondshift.policy import events
 
 if TYPE_CHECKING:
-    from almondshift.policy import routers
+    from almondshift.policy import router_interface
 
 LAYERS = 8
 
@@ -103,6 +103,6 @@
     )
 
 
-def feed(router: routers.Router, *incoming: events.Event) -> None:
+def feed(router: router_interface.Router, *incoming: events.Event) -> None:
     for event in incoming:
         router.handle(event)
--- a/tests/policy/test_baseline.py
+++ b/tests/policy/test_baseline.py
@@ -6,11 +6,11 @@
 from almondshift.policy import actions
 from almondshift.policy import baseline
 from almondshift.policy import events
-from almondshift.policy import routers
+from almondshift.policy import router_interface
 from tests.policy import fleets
 
 
-def _router() -> routers.Router:
+def _router() -> router_interface.Router:
     router = baseline.create_baseline_router(random.Random(1))
     portal = fleet.Service(
         "portal", fleet.ServiceKind.PLAIN, depends_on=("chat",)
--- a/tests/policy/test_capacity_shares.py
+++ b/tests/policy/test_capacity_shares.py
@@ -12,7 +12,7 @@
 from almondshift.model import layers
 from almondshift.model import registered_engines
 from almondshift.policy import capacity_shares
-from almondshift.policy import engine_book
+from almondshift.policy import engine_tracker
 from almondshift.policy import path_candidates
 from almondshift.policy import path_choice
 from tests.policy import test_path_choice as fleets
@@ -85,7 +85,7 @@
     nodes = []
     for number in range(NODES):
         chooser = path_choice.create_path_chooser(
-            engine_book.EngineTracker(), random.Random(number)
+            engine_tracker.EngineTracker(), random.Random(number)
         )
         chooser.nodes = NODES
         nodes.append(chooser)
--- a/tests/policy/test_group_size.py
+++ b/tests/policy/test_group_size.py
@@ -10,7 +10,7 @@
 from almondshift.model import engine_specs
 from almondshift.model import layers
 from almondshift.model import registered_engines
-from almondshift.policy import engine_book
+from almondshift.policy import engine_tracker
 from almondshift.policy import group_size
 from almondshift.policy import path_candidates
 from almondshift.policy import path_choice
@@ -51,7 +51,7 @@
     firsts: dict[str, int] = {}
     for node in range(NODES):
         chooser = path_choice.create_path_chooser(
-            engine_book.EngineTracker(), random.Random(node)
+            engine_tracker.EngineTracker(), random.Random(node)
         )
         chooser.nodes = size.nodes(0, NODES, 0.2)
         for _ in range(callers):
--- a/tests/policy/test_path_choice.py
+++ b/tests/policy/test_path_choice.py
@@ -7,7 +7,7 @@
 from almondshift.model import engine_specs
 from almondshift.model import layers
 from almondshift.model import registered_engines
-from almondshift.policy import engine_book
+from almondshift.policy import engine_tracker
 from almondshift.policy import path_candidates
 from almondshift.policy import path_choice
 
@@ -35,7 +35,7 @@
 
 
 def _chooser(nodes: int = 7) -> path_choice.PathChooser:
-    tracker = engine_book.EngineTracker()
+    tracker = engine_tracker.EngineTracker()
     chooser = path_choice.create_path_chooser(tracker, random.Random(1))
     chooser.nodes = nodes
     return chooser
@@ -45,7 +45,7 @@
     """Reports memory of the engines that the chooser wants to query."""
     for instance in chooser.nearly_full:
         used = chooser.tracker.state(instance).layer_tokens * chooser.nodes
-        reported = used / engine_book.MEMORY_GROWTH
+        reported = used / engine_tracker.MEMORY_GROWTH
         chooser.tracker.note_used(instance, reported, now)
     chooser.nearly_full.clear()
 
@@ -86,7 +86,7 @@
     chooser = _chooser()
     view = _view(leaving="a1" if fault == "leaving" else "")
     if fault == "suspect":
-        chooser.tracker.suspect("a1", engine_book.Suspicion.STALLED, 0.0)
+        chooser.tracker.suspect("a1", engine_tracker.Suspicion.STALLED, 0.0)
     for _ in range(20):
         chosen = chooser.choose(view, TOKENS, 0.0)
         assert chosen is not None
@@ -115,7 +115,7 @@
         ),
         0.0,
     ).path  # fmt: skip
-    chooser.tracker.suspect("a2", engine_book.Suspicion.STALLED, 0.0)
+    chooser.tracker.suspect("a2", engine_tracker.Suspicion.STALLED, 0.0)
     moved = chooser.move(view, path, TOKENS, 0.0)
     assert moved is not None
     assert moved.path[0] == path[0]
@@ -205,7 +205,7 @@
     counts: dict[str, int] = {}
     for seed in range(300):
         chooser = path_choice.create_path_chooser(
-            engine_book.EngineTracker(), random.Random(seed)
+            engine_tracker.EngineTracker(), random.Random(seed)
         )
         chooser.nodes = 73
         chosen = chooser.choose(view, TOKENS, 0.0)
@@ -231,7 +231,7 @@
         chosen = chooser.choose(_view(), TOKENS, float(second))
         assert chosen is not None
         assert chosen.path[0].instance == "b0"
-    later = 2.0 + engine_book.NO_FIRST_EVENT_S
+    later = 2.0 + engine_tracker.NO_FIRST_EVENT_S
     firsts = set()
     for _ in range(20):
         chosen = chooser.choose(_view(), TOKENS, later)
--- a/tests/policy/test_path_refresh.py
+++ b/tests/policy/test_path_refresh.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from almondshift.policy import engine_book
+from almondshift.policy import engine_tracker
 from almondshift.policy import path_candidates
 from almondshift.policy import path_choice
 from almondshift.policy import zone_paths
@@ -64,7 +64,7 @@
     chosen = chooser.choose(view, small.TOKENS, 0.0)
     assert chosen is not None
     lost = chosen.path[0].instance
-    chooser.tracker.suspect(lost, engine_book.Suspicion.UNREACHABLE, 0.0)
+    chooser.tracker.suspect(lost, engine_tracker.Suspicion.UNREACHABLE, 0.0)
     again = chooser.choose(view, small.TOKENS, 0.01)
     assert again is not None
     assert all(part.instance != lost for part in again.path)
--- a/tests/policy/test_pooled_load.py
+++ b/tests/policy/test_pooled_load.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from almondshift.policy import engine_book
+from almondshift.policy import engine_tracker
 from almondshift.policy import path_choice
 from almondshift.policy import pooled_load
 from tests.policy import test_path_choice as fleets
@@ -69,10 +69,10 @@
 
     Load: two equal engines; half of a node's requests went to the first.
     """
-    tracker = engine_book.EngineTracker()
+    tracker = engine_tracker.EngineTracker()
     for number in range(sent):
         here = "a" if number % 2 == 0 or nodes == 8 else "b"
-        tracker.add((engine_book.UsedPart(here, 4),), 100.0)
+        tracker.add((engine_tracker.UsedPart(here, 4),), 100.0)
     shares = dict.fromkeys("ab", pooled_load.EngineShare(0.5, 0.5))
     load = pooled_load.FleetLoad(
         tracker, shares, 4, nodes, pooled_load.MeanRequests(), 0.0
@@ -90,7 +90,7 @@
     refused = 0
     for seed in range(40):
         chooser = path_choice.create_path_chooser(
-            engine_book.EngineTracker(), random.Random(seed)
+            engine_tracker.EngineTracker(), random.Random(seed)
         )
         chooser.nodes = NODES
         for number in range(4):
@@ -111,7 +111,7 @@
     admitted = 0
     for seed in range(NODES):
         chooser = path_choice.create_path_chooser(
-            engine_book.EngineTracker(), random.Random(seed)
+            engine_tracker.EngineTracker(), random.Random(seed)
         )
         chooser.nodes = NODES
         for number in range(60):
--- a/tests/policy/test_thousands_of_engines.py
+++ b/tests/policy/test_thousands_of_engines.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from almondshift.policy import engine_book
 from almondshift.policy import engine_sample
+from almondshift.policy import engine_tracker
 from almondshift.policy import path_choice
 from tests.policy import test_path_choice as small
 from tests.policy import test_path_refresh as large
@@ -38,7 +38,7 @@
     firsts = set()
     for seed in range(300):
         chooser = path_choice.create_path_chooser(
-            engine_book.EngineTracker(), random.Random(seed)
+            engine_tracker.EngineTracker(), random.Random(seed)
         )
         chooser.nodes = 300
         chosen = chooser.choose(view, small.TOKENS, 0.0)
@@ -68,7 +68,7 @@
     assert chosen is not None
     lost = chosen.path[2].instance
     spare = lost.split("-")[0] + ("-8" if lost.endswith("-7") else "-7")
-    chooser.tracker.suspect(lost, engine_book.Suspicion.STALLED, 0.0)
+    chooser.tracker.suspect(lost, engine_tracker.Suspicion.STALLED, 0.0)
     if others_full:
         for engine in view.engines:
             if engine.instance != spare:
--- a/tests/relay/test_layer_keeper.py
+++ b/tests/relay/test_layer_keeper.py
@@ -11,7 +11,7 @@
 from almondshift.coordination import lease as coordination_lease
 from almondshift.model import relayed
 from almondshift.platform import decode
-from almondshift.policy import engine_book
+from almondshift.policy import engine_tracker
 from almondshift.ports import path_engines
 from almondshift.ports import row_feeds
 from almondshift.relay import catalogue
@@ -114,7 +114,7 @@
             clock=self.clock,
             catalogue=self.known,
             engines=self.engines,
-            tracker=engine_book.EngineTracker(),
+            tracker=engine_tracker.EngineTracker(),
         )
         self.keeper = layer_keeper.create_layer_keeper(
             cast("context.RelayContext", shared),
--- a/tests/relay/test_lost_engines.py
+++ b/tests/relay/test_lost_engines.py
@@ -8,7 +8,7 @@
 import pytest
 
 from almondshift import log_events
-from almondshift.policy import engine_book
+from almondshift.policy import engine_tracker
 from almondshift.ports import peers
 from almondshift.relay import lost_engines
 from tests import asynchronous
@@ -32,7 +32,7 @@
             dead = running.engines["a0"]
             dead.is_dead = True
             await dead.close()
-            first.lost.suspect("a0", engine_book.Suspicion.UNREACHABLE)
+            first.lost.suspect("a0", engine_tracker.Suspicion.UNREACHABLE)
             await running.until(lambda: second.tracker.is_suspect("a0"), 1.5)
             sent = [e for e in running.engines.values() if e is not dead]
             assert (await whole.chat(running, "r1", node=1))[0] == 200
@@ -54,7 +54,7 @@
             await running.wait_for_peers()
             seen: list[log_events.Event] = []
             second.observer.emit = seen.append  # type: ignore[method-assign]
-            first.lost.suspect("a0", engine_book.Suspicion.UNREACHABLE)
+            first.lost.suspect("a0", engine_tracker.Suspicion.UNREACHABLE)
             await running.until(
                 lambda: any(
                     isinstance(e, log_events.EndpointRechecked) for e in seen
@@ -89,7 +89,7 @@
     def publish_fact(
         self, kind: peers.FactKind, key: str, value: bytes, ttl_s: float
     ) -> None:
-        assert ttl_s == engine_book.SUSPECT_S
+        assert ttl_s == engine_tracker.SUSPECT_S
         self.sent.append(key)
 
 
@@ -110,7 +110,7 @@
     """Load: 200 nodes find the same seven engines dead within a second."""
     lost, group = _lost(already_published)
     for _ in range(3):
-        lost.suspect("e", engine_book.Suspicion(reason))
+        lost.suspect("e", engine_tracker.Suspicion(reason))
     assert group.sent == sent
 
 
@@ -132,7 +132,7 @@
     if is_known:
         lost.catalogue.engines["e"] = object()  # type: ignore[assignment]
     if is_suspect:
-        lost.tracker.suspect("e", engine_book.Suspicion.STALLED, 0.0)
+        lost.tracker.suspect("e", engine_tracker.Suspicion.STALLED, 0.0)
     questions = []
     lost.on_peer_report = lambda engine, peer: questions.append(peer)
     fact = peers.Fact(
@@ -159,7 +159,7 @@
     registry: Any = FakeCatalogue()
     seen: Any = FakeObserver()
     made = lost_engines.create_lost_engines(
-        network.ManualClock(), registry, engine_book.EngineTracker(), seen
+        network.ManualClock(), registry, engine_tracker.EngineTracker(), seen
     )
     group = FakeGroup(already_published)
     joined: Any = group
--- a/tests/relay/test_path_probe.py
+++ b/tests/relay/test_path_probe.py
@@ -10,7 +10,7 @@
 import pytest
 
 from almondshift.model import relayed
-from almondshift.policy import engine_book
+from almondshift.policy import engine_tracker
 from almondshift.relay import background
 from almondshift.relay import path_probe
 from tests import asynchronous
@@ -141,14 +141,16 @@
 
 
 class FakeMoves:
-    def __init__(self, tracker: engine_book.EngineTracker) -> None:
+    def __init__(self, tracker: engine_tracker.EngineTracker) -> None:
         self.tracker = tracker
         self.runs: list[FakeRun] = []
 
     def streams(self) -> list[FakeRun]:
         return self.runs
 
-    def engine_lost(self, instance: str, reason: engine_book.Suspicion) -> None:
+    def engine_lost(
+        self, instance: str, reason: engine_tracker.Suspicion
+    ) -> None:
         self.tracker.suspect(instance, reason, 0.0)
 
 
@@ -175,7 +177,7 @@
 
 class FakeShared:
     def __init__(self) -> None:
-        self.tracker = engine_book.EngineTracker()
+        self.tracker = engine_tracker.EngineTracker()
         self.paths = types.SimpleNamespace(nodes=1)
         self.clock = types.SimpleNamespace(monotonic=lambda: 0.0)
 
