--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -34,7 +34,7 @@
 from almondshift.model import routes as model_routes
 from almondshift.platform import decode
 from almondshift.policy import answer_times
-from almondshift.policy import engine_book
+from almondshift.policy import engine_tracker
 from almondshift.policy import first_event_wait
 from almondshift.policy import layer_holdings
 from almondshift.policy import layer_plan
@@ -115,7 +115,7 @@
     def finish(self) -> None:
         """Does nothing."""
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """Ends nothing."""
 
     def fail(self, error: Exception) -> None:
@@ -240,9 +240,9 @@
         self.known.apply_config_row(
             row_feeds.FeedRow("config", config(), 1), verified=True
         )
-        self.book = engine_book.EngineTracker()
+        self.tracker = engine_tracker.EngineTracker()
         self.paths = path_choice.create_path_chooser(
-            self.book, random.Random(1)
+            self.tracker, random.Random(1)
         )
         self.paths.nodes = size.nodes
         seen = observer.create_relay_observer()
@@ -252,7 +252,7 @@
             rng=random.Random(1),
             catalogue=self.known,
             engines=SilentEngines(),
-            book=self.book,
+            tracker=self.tracker,
             paths=self.paths,
             endpoints=cast("Any", None),
             budget=cast("Any", types.SimpleNamespace(
@@ -262,7 +262,7 @@
                 note_broken=lambda *v: None, is_refused=lambda *v: False
             )),
             lost=lost_engines.create_lost_engines(
-                self.clock, self.known, self.book, seen
+                self.clock, self.known, self.tracker, seen
             ),
             refusing=cast("Any", None),
             observer=seen,
@@ -337,7 +337,7 @@
         max_attempts=2,
         public=True,
         resumable=True,
-        patience_s=2.0,
+        abandon_after_s=2.0,
     )
     return routed_requests.RoutedRequest(request, route, SERVICE, "", 1, 1)
 
@@ -419,12 +419,12 @@
         lost = max(sorted(used), key=lambda instance: used[instance])
         moved += used[lost]
         start = time.process_time()
-        node.watch.moves.engine_lost(lost, engine_book.Suspicion.GONE)
+        node.watch.moves.engine_lost(lost, engine_tracker.Suspicion.GONE)
         while len(node.watch.work):
             await asyncio.sleep(0)
         node.choose()
         costs.append(time.process_time() - start)
-        node.book.clear_suspicion(lost)
+        node.tracker.clear_suspicion(lost)
     return {
         "fault_ms": statistics.median(costs) * MS,
         "moved_by_a_fault": moved / FAULTS,
--- a/src/almondshift/node/gateway.py
+++ b/src/almondshift/node/gateway.py
@@ -10,7 +10,7 @@
 from almondshift.coordination import claim_rows
 from almondshift.model import fleet as fleets
 from almondshift.model import prefixes
-from almondshift.node import kept_answers
+from almondshift.node import stored_completions
 from almondshift.ports import gateway
 from almondshift.ports import plain_services
 
@@ -73,18 +73,18 @@
 
     def begin(
         self,
-        wanted: gateway.Admission,
+        admission: gateway.Admission,
         cut: Callable[[errors.NodeLeaving], None],
     ) -> expression.Result[None, errors.NodeLeaving]:
         """Admits a request, or refuses it and names other addresses."""
         taken = self.drain.begin(
-            wanted.request_id,
-            self.expected_s(wanted.service, wanted.tokens),
-            wanted.deadline,
+            admission.request_id,
+            self.expected_s(admission.service, admission.tokens),
+            admission.deadline,
         )
         if taken.is_error():
             return expression.Error(self._with_other_addresses(taken.error))
-        self._cut_callbacks[wanted.request_id] = cut
+        self._cut_callbacks[admission.request_id] = cut
         return taken
 
     def end(self, request_id: str) -> None:
@@ -121,13 +121,13 @@
             request.account,
             request.service,
             request.idempotency_key,
-            kept_answers.fingerprint_body(request),
+            stored_completions.fingerprint_body(request),
             request.deadline,
             lambda: self._run_to_end(request),
         )
         match kept:
             case expression.Result(tag="ok", ok=result):
-                return kept_answers.to_stream(request.request_id, result)
+                return stored_completions.to_stream(request.request_id, result)
             case expression.Result(error=error):
                 return expression.Error(error)
 
@@ -144,7 +144,7 @@
     async def _run_to_end(
         self, request: requests.CompletionRequest
     ) -> expression.Result[claim_rows.StoredResult, errors.AlmondshiftError]:
-        return await kept_answers.collect(await self._start(request))
+        return await stored_completions.collect(await self._start(request))
 
     async def call_plain(
         self, request: gateway.PlainRequest
--- a/src/almondshift/relay/application.py
+++ b/src/almondshift/relay/application.py
@@ -14,7 +14,7 @@
 from almondshift.coordination import peer_types
 from almondshift.policy import answer_times
 from almondshift.policy import endpoint_choice
-from almondshift.policy import engine_book
+from almondshift.policy import engine_tracker
 from almondshift.policy import feed_readers
 from almondshift.policy import first_event_wait
 from almondshift.policy import group_size
@@ -137,7 +137,7 @@
         self.settings = settings
         self.ports = ports
         self.catalogue = catalogue.Catalogue(ports.decoders, ports.config_key)
-        self.book = engine_book.EngineTracker()
+        self.tracker = engine_tracker.EngineTracker()
         self.feed = shared_feed.create_shared_feed(
             ports.feed, ports.clock, ports.rng
         )
@@ -148,7 +148,7 @@
         repeats = settings.repeats
         relay_observer = observer.create_relay_observer()
         lost = lost_engines.create_lost_engines(
-            ports.clock, self.catalogue, self.book, relay_observer
+            ports.clock, self.catalogue, self.tracker, relay_observer
         )
         self.shared = context.RelayContext(
             zone=settings.node.zone,
@@ -156,8 +156,8 @@
             rng=ports.rng,
             catalogue=self.catalogue,
             engines=ports.engines,
-            book=self.book,
-            paths=path_choice.create_path_chooser(self.book, ports.rng),
+            tracker=self.tracker,
+            paths=path_choice.create_path_chooser(self.tracker, ports.rng),
             endpoints=endpoint_choice.EndpointChooser(ports.rng),
             budget=repeat_budget.RepeatBudget(
                 repeat_budget.RepeatLimits(
@@ -168,7 +168,7 @@
             crashes=crash_watch.create_crash_watch(ports.clock),
             lost=lost,
             refusing=refusing_engines.create_refusing_engines(
-                ports.clock, self.catalogue, self.book, ports.engines, lost
+                ports.clock, self.catalogue, self.tracker, ports.engines, lost
             ),
             observer=relay_observer,
             times=answer_times.create_answer_times(),
@@ -318,7 +318,9 @@
         suspended_s = now - self.last_tick_at - TICK_S
         self.last_tick_at = now
         if suspended_s > MAX_TICK_DELAY_S:
-            log_events.emit(logger, log_events.NodeWoke(round(suspended_s, 2)))
+            log_events.emit(
+                logger, log_events.NodeResumed(round(suspended_s, 2))
+            )
         self.catalogue.expire_removals(now)
         self.shared.crashes.strikes.forget_old(now)
         if self.group is not None:
@@ -389,7 +391,7 @@
             logger, log_events.EndpointRestarted(engine.instance, "registry")
         )
         self.silence.moves.engine_lost(
-            engine.instance, engine_book.Suspicion.GONE
+            engine.instance, engine_tracker.Suspicion.GONE
         )
         self.ports.engines.forget(engine.address)
 
@@ -403,7 +405,7 @@
         self.silence.forget(engine.instance)
         self.shared.refusing.forget(engine.instance)
         self.shared.crashes.endpoint_gone(engine.instance, engine.leaving)
-        self.book.forget(engine.instance)
+        self.tracker.forget(engine.instance)
         self.shared.endpoints.forget(engine.instance)
         if self.catalogue.by_address(engine.address) is None:
             self.ports.engines.forget(engine.address)
--- a/src/almondshift/relay/path_probe.py
+++ b/src/almondshift/relay/path_probe.py
@@ -18,7 +18,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from almondshift.policy import engine_book
+from almondshift.policy import engine_tracker
 from almondshift.policy import pooled_load
 from almondshift.policy import probe_timing
 
@@ -130,7 +130,7 @@
             for _, attempt in silent
             for part in attempt.path
             if part.instance not in alive
-            and not self.shared.book.is_lost(part.instance)
+            and not self.shared.tracker.is_lost(part.instance)
         }
 
     async def probe(self, parts: dict[str, relayed.PathPart]) -> None:
@@ -186,8 +186,10 @@
         limit_s = SECOND_QUERY_S + 2 * QUERY_TIMEOUT_S + MAX_OVERRUN_S
         if self.loop.time() - self.started_at > limit_s:
             return
-        self.moves.engine_lost(part.instance, engine_book.Suspicion.UNREACHABLE)
-        if self.shared.book.is_lost(part.instance):
+        self.moves.engine_lost(
+            part.instance, engine_tracker.Suspicion.UNREACHABLE
+        )
+        if self.shared.tracker.is_lost(part.instance):
             self.lost.append(part.instance)
 
     async def answers(self, part: relayed.PathPart) -> bool:
@@ -214,7 +216,7 @@
         if report is None:
             return False
         now = self.shared.clock.monotonic()
-        self.shared.book.note_pace(part.instance, report.pace, now)
+        self.shared.tracker.note_pace(part.instance, report.pace, now)
         return True
 
     async def is_own_link_up(self) -> bool:
--- a/src/almondshift/relay/silence_watch.py
+++ b/src/almondshift/relay/silence_watch.py
@@ -13,7 +13,7 @@
 
 from almondshift import log_events
 from almondshift.model import relayed
-from almondshift.policy import engine_book
+from almondshift.policy import engine_tracker
 from almondshift.relay import background
 from almondshift.relay import engine_questions
 from almondshift.relay import path_probe
@@ -113,7 +113,7 @@
         probed = path_probe.ProbeRound(self.shared, self.questions, self.moves)
         await probed.check(part, is_peer_report=True)
         self.shared.observer.emit(
-            log_events.EndpointDoubted(
+            log_events.EndpointRechecked(
                 engine.instance,
                 peer,
                 bool(probed.lost),
@@ -145,13 +145,13 @@
             return
         self.unanswered.pop(first.instance, None)
         now = self.shared.clock.monotonic()
-        self.shared.book.note_pace(first.instance, report.pace, now)
+        self.shared.tracker.note_pace(first.instance, report.pace, now)
         addresses = {stalled.address for stalled in report.stalled}
         for address in addresses:
             engine = self.shared.catalogue.by_address(address)
             if engine is not None:
                 self.moves.engine_lost(
-                    engine.instance, engine_book.Suspicion.STALLED
+                    engine.instance, engine_tracker.Suspicion.STALLED
                 )
         if not addresses:
             self.questions.query_paces(self.silent_parts(first))
@@ -163,7 +163,7 @@
         if count >= MAX_UNANSWERED:
             self.unanswered.pop(first.instance, None)
             self.moves.engine_lost(
-                first.instance, engine_book.Suspicion.UNREACHABLE
+                first.instance, engine_tracker.Suspicion.UNREACHABLE
             )
 
     def silent_parts(
--- a/src/almondshift/relay/stream_run.py
+++ b/src/almondshift/relay/stream_run.py
@@ -7,7 +7,7 @@
 from almondshift import errors
 from almondshift import log_events
 from almondshift.model import relayed
-from almondshift.policy import engine_book
+from almondshift.policy import engine_tracker
 from almondshift.ports import path_engines
 from almondshift.relay import runs
 from almondshift.relay import stream_attempt
@@ -108,7 +108,7 @@
     def search_later(self, search: Callable[[], None]) -> None:
         """Schedules another search for a path while the caller still waits."""
         waited_s = self.loop.time() - self.progress_at
-        if waited_s + RESUME_RETRY_S >= self.routed.route.patience_s:
+        if waited_s + RESUME_RETRY_S >= self.routed.route.abandon_after_s:
             self.refuse(errors.UpstreamFailed("No path can resume the stream."))
             return
         self.retry_timer = self.loop.call_later(RESUME_RETRY_S, search)
@@ -146,7 +146,7 @@
         self.sends += 1
         attempt = stream_attempt.StreamAttempt(self, chosen)
         self.attempt = attempt
-        self.shared.book.add(attempt.used, self.tokens)
+        self.shared.tracker.add(attempt.used, self.tokens)
         self.note_forwarded(
             format_path(chosen.path),
             ",".join(part.instance for part in chosen.path),
@@ -269,7 +269,7 @@
             )
         elif ending is path_engines.Ending.NOT_SENT:
             self.shared.lost.suspect(
-                attempt.first.instance, engine_book.Suspicion.UNREACHABLE
+                attempt.first.instance, engine_tracker.Suspicion.UNREACHABLE
             )
         self.retry_or_end(attempt, reason, is_not_run)
 
@@ -316,7 +316,7 @@
                 continue
             if head.status == 421:
                 self.shared.lost.suspect(
-                    part.instance, engine_book.Suspicion.REFUSED
+                    part.instance, engine_tracker.Suspicion.REFUSED
                 )
             else:
                 self.note_refused(part.instance, part.address)
@@ -328,7 +328,7 @@
         dead.
         """
         now = self.shared.clock.monotonic()
-        self.shared.book.note_full(instance, now)
+        self.shared.tracker.note_full(instance, now)
         self.shared.paths.nearly_full[instance] = address
         self.shared.refusing.check(instance)
 
@@ -346,7 +346,7 @@
         """
         if is_not_run:
             self.unrefused_sends -= 1
-        elif not self.shared.book.is_lost(attempt.first.instance):
+        elif not self.shared.tracker.is_lost(attempt.first.instance):
             self.possible_runs += 1
         allowed = self.may_repeat(is_not_run)
         waits = not allowed and self.may_wait_for_capacity(is_not_run)
@@ -495,9 +495,9 @@
             path_engines.OrderOutcome.DONE,
             path_engines.OrderOutcome.BEGUN,
         ):
-            self.shared.book.remove(attempt.used, self.tokens)
+            self.shared.tracker.remove(attempt.used, self.tokens)
             attempt.path, attempt.used = chosen.path, chosen.used
-            self.shared.book.add(attempt.used, self.tokens)
+            self.shared.tracker.add(attempt.used, self.tokens)
             attempt.active_at = self.loop.time()
         if refused_by:
             self.note_refused(refused_by, answer.faulty_address)
@@ -547,9 +547,9 @@
     def note_no_event(self, attempt: stream_attempt.StreamAttempt) -> None:
         """Records a first engine that sent nothing for nearly too long."""
         waited_s = self.loop.time() - attempt.sent_at
-        if waited_s >= NO_EVENT_SHARE * self.routed.route.patience_s:
+        if waited_s >= NO_EVENT_SHARE * self.routed.route.abandon_after_s:
             now = self.shared.clock.monotonic()
-            self.shared.book.note_no_first_event(attempt.first.instance, now)
+            self.shared.tracker.note_no_first_event(attempt.first.instance, now)
 
     def release_attempt(self) -> None:
         """Drops the current attempt and its load in the engine tracker."""
@@ -558,7 +558,7 @@
         if self.first_event_timer is not None:
             self.first_event_timer.cancel()
         if attempt is not None:
-            self.shared.book.remove(attempt.used, self.tokens)
+            self.shared.tracker.remove(attempt.used, self.tokens)
 
     def cancel_work(self) -> None:
         """Cancels the work of engines."""
--- a/tests/platform/test_restarts_and_clocks.py
+++ b/tests/platform/test_restarts_and_clocks.py
@@ -210,12 +210,14 @@
         async with system.running_system(nodes=2) as running:
             shared = running.nodes[1].node.shared
             now = shared.clock.monotonic()
-            shared.book.suspect("a1", whole.engine_book.Suspicion.STALLED, now)
+            shared.tracker.suspect(
+                "a1", whole.engine_tracker.Suspicion.STALLED, now
+            )
             addresses = [p.settings.metrics.address for p in running.nodes]
             client = console_nodes.create_client(
                 argparse.Namespace(), needs_secret=False
             )
-            answers = await console_nodes.statuses(client, addresses)
+            answers = await console_nodes.fetch_statuses(client, addresses)
             client.close()
             assert [a.error for a in answers] == [None, None]
             seen = [a.value or {} for a in answers]
--- a/tests/platform/test_whole_system.py
+++ b/tests/platform/test_whole_system.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from almondshift.policy import engine_book
+from almondshift.policy import engine_tracker
 from tests.platform import standin_system as system
 
 WHOLE = [f"token {number}" for number in range(1, 21)]
@@ -221,7 +221,7 @@
             [run] = running.nodes[0].node.shared.running
             path = run.attempt.path  # type: ignore[attr-defined]
             part = path[1] if failed_position == "middle" else path[0]
-            running.world.engines[part.address].is_dead = True
+            running.cluster.engines[part.address].is_dead = True
             status, _, body = await stream
             assert status == 200
             assert tokens(body) == WHOLE
@@ -419,7 +419,9 @@
             known = shared.catalogue.engines
             await running.until(lambda: {"a7", "a8", "a9"} <= known.keys())
             for zone_b in ("b0", "b1", "b2", "b3"):
-                shared.book.suspect(zone_b, engine_book.Suspicion.GONE, 1e12)
+                shared.tracker.suspect(
+                    zone_b, engine_tracker.Suspicion.GONE, 1e12
+                )
             stream = asyncio.create_task(chat(running, "r1"))
             await running.until(lambda: times_run(running, "r1") == 1)
             await asyncio.sleep(0.2)
--- a/tests/policy/test_pooled_load.py
+++ b/tests/policy/test_pooled_load.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from almondshift.policy import engine_book
+from almondshift.policy import engine_tracker
 from almondshift.policy import path_choice
 from almondshift.policy import pooled_load
 from tests.policy import test_path_choice as fleets
@@ -69,13 +69,13 @@
 
     Load: two equal engines; half of a node's requests went to the first.
     """
-    book = engine_book.EngineTracker()
+    tracker = engine_tracker.EngineTracker()
     for number in range(sent):
         here = "a" if number % 2 == 0 or nodes == 8 else "b"
-        book.add((engine_book.UsedPart(here, 4),), 100.0)
+        tracker.add((engine_tracker.UsedPart(here, 4),), 100.0)
     shares = dict.fromkeys("ab", pooled_load.EngineShare(0.5, 0.5))
     load = pooled_load.FleetLoad(
-        book, shares, 4, nodes, pooled_load.MeanRequests(), 0.0
+        tracker, shares, 4, nodes, pooled_load.MeanRequests(), 0.0
     )
     assert load.first_after_next("a") == soon
 
@@ -90,7 +90,7 @@
     refused = 0
     for seed in range(40):
         chooser = path_choice.create_path_chooser(
-            engine_book.EngineTracker(), random.Random(seed)
+            engine_tracker.EngineTracker(), random.Random(seed)
         )
         chooser.nodes = NODES
         for number in range(4):
@@ -98,7 +98,7 @@
             if chosen is None:
                 refused += 1
             elif number < 3:
-                chooser.book.add(chosen.used, fleets.TOKENS)
+                chooser.tracker.add(chosen.used, fleets.TOKENS)
     assert refused == 0
 
 
@@ -111,13 +111,13 @@
     admitted = 0
     for seed in range(NODES):
         chooser = path_choice.create_path_chooser(
-            engine_book.EngineTracker(), random.Random(seed)
+            engine_tracker.EngineTracker(), random.Random(seed)
         )
         chooser.nodes = NODES
         for number in range(60):
             chosen = chooser.choose(fleets._view(), fleets.TOKENS, 0.3 * number)
             if chosen is not None:
-                chooser.book.add(chosen.used, fleets.TOKENS)
+                chooser.tracker.add(chosen.used, fleets.TOKENS)
                 admitted += 1
-    room = 3 * fleets.SPEC.layer_token_room("k", 20) / 20 / fleets.TOKENS
+    room = 3 * fleets.SPEC.layer_token_capacity("k", 20) / 20 / fleets.TOKENS
     assert 0.7 * room <= admitted <= 1.35 * room
--- a/tests/relay/test_path_probe.py
+++ b/tests/relay/test_path_probe.py
@@ -10,7 +10,7 @@
 import pytest
 
 from almondshift.model import relayed
-from almondshift.policy import engine_book
+from almondshift.policy import engine_tracker
 from almondshift.relay import background
 from almondshift.relay import path_probe
 from tests import asynchronous
@@ -54,7 +54,7 @@
             await asyncio.sleep(0.2)
             [run] = shared.running
             part = run.attempt.path[1]  # type: ignore[attr-defined]
-            dead = running.world.engines[part.address]
+            dead = running.cluster.engines[part.address]
             dead.is_dead = True
             if not is_dark:
                 await dead.close()
@@ -104,7 +104,7 @@
 ) -> None:
     """Otherwise streams would be late before their dead engine is found."""
     shared: Any = FakeShared()
-    moves: Any = FakeMoves(shared.book)
+    moves: Any = FakeMoves(shared.tracker)
     questions = FakeQuestions()
     queries: Any = questions
     probed = path_probe.ProbeRound(shared, queries, moves)
@@ -125,7 +125,7 @@
 async def test_a_busy_engine_does_not_delay_the_probe_of_another() -> None:
     """Otherwise streams on a dead engine would wait for another's backoff."""
     shared: Any = FakeShared()
-    moves: Any = FakeMoves(shared.book)
+    moves: Any = FakeMoves(shared.tracker)
     questions: Any = FakeQuestions()
     work = background.Background()
     probe = path_probe.PathProbe(shared, work, moves, questions)
@@ -141,15 +141,17 @@
 
 
 class FakeMoves:
-    def __init__(self, book: engine_book.EngineTracker) -> None:
-        self.book = book
+    def __init__(self, tracker: engine_tracker.EngineTracker) -> None:
+        self.tracker = tracker
         self.runs: list[FakeRun] = []
 
     def streams(self) -> list[FakeRun]:
         return self.runs
 
-    def engine_lost(self, instance: str, reason: engine_book.Suspicion) -> None:
-        self.book.suspect(instance, reason, 0.0)
+    def engine_lost(
+        self, instance: str, reason: engine_tracker.Suspicion
+    ) -> None:
+        self.tracker.suspect(instance, reason, 0.0)
 
 
 class FakeAttempt:
@@ -175,7 +177,7 @@
 
 class FakeShared:
     def __init__(self) -> None:
-        self.book = engine_book.EngineTracker()
+        self.tracker = engine_tracker.EngineTracker()
         self.paths = types.SimpleNamespace(nodes=1)
         self.clock = types.SimpleNamespace(monotonic=lambda: 0.0)
 
--- a/tests/scenarios/steps_config.py
+++ b/tests/scenarios/steps_config.py
@@ -104,16 +104,16 @@
 
 @when(parsers.parse("config writes of {node} are held in transit"))
 def hold_writes(control: controls.Control, node: str) -> None:
-    control.proxies[node].held_content = controls.CONFIG_WRITE
+    control.proxies[node].held_request_content = controls.CONFIG_WRITE
 
 
 @when(parsers.parse("the held writes of {node} are delivered"))
 def release_writes(control: controls.Control, node: str) -> None:
     proxy = control.proxies[node]
-    proxy.held_content = None
+    proxy.held_request_content = None
 
     async def delivered() -> bool:
-        return proxy.held == 0
+        return proxy.held_requests == 0
 
     control.world.run(
         control.system.wait_for(
@@ -124,7 +124,7 @@
 
 def _wait_held(control: controls.Control, node: str) -> None:
     async def held() -> bool:
-        return control.proxies[node].held > 0
+        return control.proxies[node].held_requests > 0
 
     control.world.run(control.system.wait_for(held, f"{node} sends a write"))
 
--- a/tests/scenarios/steps_once.py
+++ b/tests/scenarios/steps_once.py
@@ -165,7 +165,7 @@
 
 @when(parsers.parse("the response to the claim is held back from {node}"))
 def hold_claim(control: controls.Control, node: str) -> None:
-    control.proxies[node].held_answer_to = CLAIM_WRITE
+    control.proxies[node].held_response_to = CLAIM_WRITE
 
 
 @when(parsers.parse("the response to the claim reaches {node} late"))
--- a/tests/soak/system.py
+++ b/tests/soak/system.py
@@ -335,7 +335,7 @@
             part.kill()
 
     async def wait_until_listening(self, address: str) -> None:
-        async with asyncio.timeout(processes.START_S):
+        async with asyncio.timeout(processes.START_TIMEOUT_S):
             while True:
                 try:
                     host, _, port = address.rpartition(":")
