--- a/src/almondshift/relay/application.py
+++ b/src/almondshift/relay/application.py
@@ -374,7 +374,7 @@
         self, engine: registered_engines.RegisteredEngine
     ) -> None:
         """Starts moving streams off an engine that is shutting down."""
-        self.silence.moves.engine_leaving(engine.instance)
+        self.silence.moves.on_engine_leaving(engine.instance)
 
     def engine_restarted(
         self, engine: registered_engines.RegisteredEngine
@@ -399,7 +399,7 @@
         Some engines do not announce that they leave: only their entry is
         removed, and they keep serving for as long as those that announce it.
         """
-        self.silence.moves.engine_leaving(engine.instance)
+        self.silence.moves.on_engine_leaving(engine.instance)
         self.silence.forget(engine.instance)
         self.shared.refusing.forget(engine.instance)
         self.shared.crashes.endpoint_gone(engine.instance, engine.leaving)
--- a/src/almondshift/relay/engine_questions.py
+++ b/src/almondshift/relay/engine_questions.py
@@ -2,6 +2,10 @@
 
 Polling every engine from every node would dominate the traffic of a large
 fleet, so queries are triggered by what requests observe.
+
+A suspect engine gets no new work until it replies again. Unless it is draining,
+it also counts as lost, as it seems dead. An engine is gone if this instance
+certainly no longer runs.
 """
 
 from __future__ import annotations
@@ -23,14 +27,14 @@
     from almondshift.relay import stream_moves
 
 REPORT_TIMEOUT_S = 0.3
-"""Time-out of a query; live engines answer within milliseconds."""
+"""Time-out of a query, in seconds; live engines reply within milliseconds."""
 
 PACE_QUERY_GAP_S = 1.0
 """Minimum interval between queries for one engine's pace, in seconds."""
 
 SLOW_ENGINE_QUERY_GAP_S = 2.0
-"""The same for an engine that is known to be slow; half the validity of its
-report, in seconds."""
+"""Minimum interval between queries to an engine that is known to be slow, in
+seconds; half the validity of its report."""
 
 MEMORY_QUERY_GAP_S = 0.5
 """Minimum interval between queries for one engine's memory use, in seconds;
@@ -40,13 +44,14 @@
 """Interval between queries of a suspect, in seconds."""
 
 MAX_QUERIES = 24
-"""Maximum concurrent queries and moves; others wait for the next check."""
+"""Number of background tasks, queries and moves together, from which no memory
+query starts and peers' reports of dead engines are ignored."""
 
 
 logger = logging.getLogger(__name__)
 
 
-class EngineQuestions:
+class EngineQueries:
     """Queries engines and records their reports."""
 
     def __init__(
@@ -69,12 +74,12 @@
     async def report(
         self, instance: str, address: str, timeout_s: float = REPORT_TIMEOUT_S
     ) -> relayed.EngineReport | None:
-        """Returns an engine's report; None if this start does not answer.
+        """Returns an engine's report; None if this instance does not reply.
 
-        The address may already belong to a later start of the engine that the
-        registry does not list yet. If its report were attributed to the
-        previous start, the restart would go unnoticed and streams would wait
-        for an engine that no longer runs them.
+        The address may already belong to a newer instance that the registry
+        does not list yet. If its report were attributed to this instance, the
+        restart would go unnoticed and streams would wait for an engine that no
+        longer runs them.
         """
         report = await self.shared.engines.report(address, timeout_s)
         if report is None or not report.born_ms:
@@ -125,7 +130,7 @@
         was_slow = self.shared.book.is_slow(instance, now)
         self.shared.book.note_pace(instance, report.pace, now)
         if self.shared.book.is_slow(instance, now) and not was_slow:
-            self.moves.engine_slow(instance, report.pace)
+            self.moves.on_engine_slow(instance, report.pace)
 
     def query_nearly_full(self) -> None:
         """Queries the memory use of engines that seem nearly full."""
@@ -157,23 +162,25 @@
         self.shared.book.note_pace(instance, report.pace, now)
 
     def query_suspects(self, now: float) -> None:
-        """Queries suspects whose ejection time is over."""
+        """Queries the suspect engines that are due for it."""
         for instance in self.shared.book.due_for_trial(now):
             engine = self.shared.catalogue.engines.get(instance)
             if engine is None:
                 self.shared.book.forget(instance)
                 continue
             state = self.shared.book.state(instance)
-            drains = state.reason is engine_book.Suspicion.DRAINING
-            gap_s = engine_book.SUSPECT_S if drains else SUSPECT_QUERY_GAP_S
+            is_draining = state.reason is engine_book.Suspicion.DRAINING
+            gap_s = (
+                engine_book.SUSPECT_S if is_draining else SUSPECT_QUERY_GAP_S
+            )
             state.suspect_until = now + gap_s
-            self.work.run(self.query_suspect(engine, drains))
+            self.work.run(self.query_suspect(engine, is_draining))
 
     async def query_suspect(
-        self, engine: registered_engines.RegisteredEngine, drains: bool
+        self, engine: registered_engines.RegisteredEngine, is_draining: bool
     ) -> None:
-        """Readmits a suspect that answers, or that accepts work again."""
-        if drains:
+        """Uses a suspect again if it replies, or is healthy after draining."""
+        if is_draining:
             is_back = await self.shared.refusing.is_healthy(engine)
         else:
             report = await self.report(engine.instance, engine.address)
--- a/src/almondshift/relay/group.py
+++ b/src/almondshift/relay/group.py
@@ -30,6 +30,7 @@
 SECRET_TABLE = "almondshift-keys"
 SECRET_KEY = "peers"
 SECRET_BYTES = 24
+"""Length of the group's shared secret, in bytes."""
 
 ASK_TIMEOUT_S = 0.4
 """Time-out of a request to a peer, in seconds."""
@@ -46,7 +47,10 @@
 link is likely at fault, and callers are given all live peers."""
 
 RETRY_S = 0.3
+"""Interval between attempts to read or create the shared secret, in seconds."""
+
 MAX_NODE_ROWS = 500
+"""Maximum number of node rows in one read."""
 
 PEER_LIST_TTL_S = 0.1
 """Time for which the list of peers is cached, in seconds. Its content changes
@@ -54,8 +58,9 @@
 store on behalf of peers and each tick."""
 
 PEER_LIST_TTL_PER_PEER_S = 0.001
-"""The same per peer, if that is longer. Building the list takes a few
-microseconds per peer; this bounds its share of a core."""
+"""Time for which the list of peers is cached, in seconds per peer, if that is
+longer. Building the list takes a few microseconds per peer; this bounds its
+share of a core."""
 
 SWEEP_INTERVAL_S = 120.0
 """Interval between sweeps of node rows, in seconds. Nodes are replaced a few
@@ -126,7 +131,8 @@
     def is_among_first(self, count: int) -> bool:
         """Returns whether fewer than ``count`` rows have smaller names.
 
-        False before the rows have been read.
+        Limits which nodes contend for the lease. False before the rows have
+        been read.
         """
         return bool(self.names) and _is_among_first(
             self.name, self.names, count
@@ -242,12 +248,16 @@
         that lost power until it is suspected.
         """
         serving = self.serving()
-        fresh = [
+        recently_heard = [
             peer
             for peer in serving
             if peer.silence_s <= MAX_ADVERTISED_SILENCE_S
         ]
-        return fresh if len(fresh) >= MIN_ADVERTISED_PEERS else serving
+        return (
+            recently_heard
+            if len(recently_heard) >= MIN_ADVERTISED_PEERS
+            else serving
+        )
 
     def is_alive(self, name: str) -> bool:
         """Returns whether a peer is alive and not shutting down."""
@@ -256,13 +266,18 @@
     def is_among_first(self, count: int) -> bool:
         """Returns whether this node is among the first ``count`` by name.
 
-        All nodes that see the same peers agree on which these are.
+        Limits which nodes contend for the lease. All nodes that see the same
+        peers agree on which these are.
         """
         others = (peer.name for peer in self.serving())
         return _is_among_first(self.name, others, count)
 
     async def ask(self, topic: str, body: bytes) -> list[bytes]:
-        """Sends a request to a few random peers; returns their responses."""
+        """Sends a request to a few random peers.
+
+        Returns:
+            Replies that arrived within ``ASK_TIMEOUT_S``.
+        """
         known = [peer.name for peer in self.serving()]
         chosen = self.members.rng.sample(
             known, min(PEERS_PER_REQUEST, len(known))
@@ -278,7 +293,7 @@
     def register_handler(
         self, topic: str, handler: Callable[[str, bytes], Awaitable[bytes]]
     ) -> None:
-        """Registers the handler of peers' requests on a topic."""
+        """Registers the function that replies to peers' requests on a topic."""
         self.members.answer(topic, handler)
 
     @property
--- a/src/almondshift/relay/layer_keeper.py
+++ b/src/almondshift/relay/layer_keeper.py
@@ -20,6 +20,7 @@
     from almondshift.relay import context
 
 TICK_S = 0.2
+"""Interval between checks whether to place layers, in seconds."""
 
 FLEET_SETTLE_S = 1.0
 """Time without a new engine after which a fleet without layers is planned, in
@@ -31,11 +32,13 @@
 some answers are lost."""
 
 RESEND_S = 1.0
-"""Time after which an unanswered order is sent again, in seconds. The order
-carries the number of orders before it, so it cannot be executed twice."""
+"""Time after which an unanswered order is sent again, in seconds. Each order
+states how many orders the engine should already have accepted; the engine
+rejects it otherwise, so a resend is safe."""
 
 NO_ORDERS = 0
-"""Orders accepted by an engine that has held no layers since its start."""
+"""Number of accepted orders assumed for an engine without a known count, such
+as one that has not held layers yet."""
 
 LOAD_TIMEOUT_FACTOR = 3.0
 LOAD_TIMEOUT_EXTRA_S = 4.0
@@ -89,14 +92,14 @@
         self.pending: dict[str, PendingOrder] = {}
         self.accepted_orders: dict[str, int] = {}
         self.last_new_engine_at = shared.clock.monotonic()
-        self.had_grant = False
+        self.was_holder = False
         self.settled_fleets: dict[str, list[layer_holdings.PlannedEngine]] = {}
         self.work = background.Background()
 
     async def start(self) -> None:
         """Starts to contend for the lease and to place layers."""
-        self.shared.catalogue.on_engine.append(self.engine_changed)
-        self.shared.catalogue.on_gone.append(self.engine_gone)
+        self.shared.catalogue.on_engine.append(self.on_engine_changed)
+        self.shared.catalogue.on_gone.append(self.on_engine_gone)
         await self.lease.start()
         self.work.repeat(TICK_S, self.tick, "layers could not be placed")
 
@@ -105,7 +108,7 @@
         await self.work.close()
         await self.lease.close()
 
-    def engine_changed(
+    def on_engine_changed(
         self, engine: registered_engines.RegisteredEngine
     ) -> None:
         """Records which layers an engine holds now."""
@@ -116,7 +119,9 @@
             del self.pending[engine.instance]
         self.accepted_orders.pop(engine.instance, None)
 
-    def engine_gone(self, engine: registered_engines.RegisteredEngine) -> None:
+    def on_engine_gone(
+        self, engine: registered_engines.RegisteredEngine
+    ) -> None:
         """Forgets an engine."""
         self.pending.pop(engine.instance, None)
         self.accepted_orders.pop(engine.instance, None)
@@ -124,7 +129,7 @@
     def tick(self) -> None:
         """Plans and sends orders if this node holds the lease."""
         grant = self.lease.grant()
-        self.note_grant(grant)
+        self.log_lease_change(grant)
         if grant is None:
             return
         config = self.shared.catalogue.config
@@ -137,12 +142,14 @@
             if view is not None:
                 self.place(view, now, grant)
 
-    def note_grant(self, grant: coordination_lease.LeaseGrant | None) -> None:
+    def log_lease_change(
+        self, grant: coordination_lease.LeaseGrant | None
+    ) -> None:
         """Logs that the lease was gained or lost."""
         has_grant = grant is not None
-        if has_grant == self.had_grant:
+        if has_grant == self.was_holder:
             return
-        self.had_grant = has_grant
+        self.was_holder = has_grant
         owner = self.lease.owner
         if grant is not None:
             log_events.emit(
@@ -159,12 +166,16 @@
         now: float,
         grant: coordination_lease.LeaseGrant,
     ) -> None:
-        """Plans a service's layers and sends the orders."""
-        planned = self.planned(view, now)
+        """Plans a service's layers and sends the orders.
+
+        Skips fleets that need no orders and have not changed, and waits until
+        a fleet without layers has settled.
+        """
+        planned = self.plannable_engines(view, now)
         if not planned or planned == self.settled_fleets.get(view.service):
             return
-        is_fresh = all(engine.held is None for engine in planned)
-        if is_fresh and now - self.last_new_engine_at < FLEET_SETTLE_S:
+        has_no_layers = all(engine.held is None for engine in planned)
+        if has_no_layers and now - self.last_new_engine_at < FLEET_SETTLE_S:
             return
         orders = layer_plan.plan_orders(planned, view.spec)
         if not orders:
@@ -176,14 +187,14 @@
             self.pending[order.instance] = PendingOrder(order.layers, until)
             self.start_order(engines[order.instance], order.layers, grant)
 
-    def planned(
+    def plannable_engines(
         self, view: path_candidates.FleetView, now: float
     ) -> list[layer_holdings.PlannedEngine]:
         """Returns the engines that the plan may use."""
         found = []
         for engine in view.engines:
-            kind = view.spec.kinds.get(engine.kind)
-            if kind is None or engine.leaving:
+            engine_kind = view.spec.kinds.get(engine.kind)
+            if engine_kind is None or engine.leaving:
                 continue
             if self.shared.book.is_suspect(engine.instance):
                 continue
@@ -192,10 +203,10 @@
                     layer_holdings.PlannedEngine(
                         engine.instance,
                         engine.zone,
-                        kind.memory_mb,
+                        engine_kind.memory_mb,
                         engine.layers,
                         is_slow=self.shared.book.is_slow(engine.instance, now),
-                        step_factor=kind.step_factor,
+                        step_factor=engine_kind.step_factor,
                     ),
                     now,
                 )
@@ -209,15 +220,15 @@
         pending = self.pending.get(engine.instance)
         if pending is None or now >= pending.valid_until:
             return engine
-        certain = None
+        certain_layers = None
         if pending.is_unanswered and engine.held is not None:
-            certain = engine.held.shared_with(pending.layers)
+            certain_layers = engine.held.shared_with(pending.layers)
         return dataclasses.replace(
             engine,
             held=pending.layers,
             is_busy=True,
             is_unanswered=pending.is_unanswered,
-            certain=certain,
+            certain=certain_layers,
         )
 
     def resend_orders(
@@ -260,9 +271,9 @@
             engine.layers is not None
             and engine.instance not in self.accepted_orders
         ):
-            answers = await self.learn_orders(engine)
-            if not answers:
-                self.note_unanswered(engine.instance, layers)
+            did_answer = await self.fetch_accepted_orders(engine)
+            if not did_answer:
+                self.mark_unanswered(engine.instance, layers)
         expected = self.accepted_orders.get(engine.instance, NO_ORDERS)
         sent_at = self.shared.clock.monotonic()
         answer = await self.shared.engines.place(
@@ -287,7 +298,7 @@
         if pending is None or pending.layers != layers:
             return
         if answer.outcome is path_engines.OrderOutcome.CONFLICT:
-            await self.learn_orders(engine)
+            await self.fetch_accepted_orders(engine)
             pending.resend_at = self.shared.clock.monotonic() + RESEND_S
         elif answer.outcome in (
             path_engines.OrderOutcome.UNKNOWN,
@@ -298,7 +309,7 @@
         else:
             pending.is_unanswered = False
 
-    def note_unanswered(
+    def mark_unanswered(
         self, instance: str, layers: model_layers.LayerRange
     ) -> None:
         """Marks an order as unanswered before it times out."""
@@ -306,16 +317,17 @@
         if pending is not None and pending.layers == layers:
             pending.is_unanswered = True
 
-    async def learn_orders(
+    async def fetch_accepted_orders(
         self, engine: registered_engines.RegisteredEngine
     ) -> bool:
         """Queries how many orders an engine has accepted.
 
-        An order whose answer was lost may have been counted, and another node
+        An order whose reply was lost may have been counted, and another node
         may have held the lease before.
 
         Returns:
-            Whether this start of the engine answered.
+            Whether this instance of the engine replied. A report without a
+            start time (0) is taken for its own.
         """
         report = await self.shared.engines.report(
             engine.address, ORDER_TIMEOUT_S
--- a/src/almondshift/relay/lost_engines.py
+++ b/src/almondshift/relay/lost_engines.py
@@ -1,7 +1,7 @@
 """Shares dead engines with the other nodes, each of which verifies them.
 
-Load pattern: seven engines at a time die while each of hundreds of nodes sends
-them a request per second. If each node had to detect every dead engine itself,
+Seven engines may die at a time while each of hundreds of nodes sends them a
+request per second. If each node had to detect every dead engine itself,
 its first request there would fail and use up retry budget, and its streams
 would stall until it had queried the engine.
 
--- a/src/almondshift/relay/path_probe.py
+++ b/src/almondshift/relay/path_probe.py
@@ -1,11 +1,11 @@
-"""Finds the dead engine behind silent streams before the streams are late.
+"""Finds the dead engine behind silent streams before event gaps grow too long.
 
 A stream stalls if an engine on its path dies. The first engine reports which
-engine it waits for, but its reports are 200 ms old, and a gap of 200 ms already
-makes the stream late. Therefore, as soon as streams are silent for a few times
-their usual interval, all engines on their paths are queried at once. A crashed
-engine refuses the connection; one that lost power or its network does not
-respond, while the others answer within milliseconds.
+engine it waits for, but its reports are 200 ms old, and a gap of 200 ms between
+events is already too long for callers. Therefore, as soon as streams are silent
+for a few times their usual interval, all engines on their paths are queried at
+once. A crashed engine refuses the connection; one that lost power or its
+network does not reply, while the others reply within milliseconds.
 
 A query may be lost, and this process may not have been scheduled. An engine
 counts as dead only if two overlapping queries fail, this node has just heard
@@ -40,9 +40,9 @@
 """Time after which a second query is sent while the first one is pending, in
 seconds."""
 
-MAX_PROOF_AGE_S = 0.04
-"""Maximum age of the latest event that proves that this node's own link works,
-in seconds."""
+MAX_LINK_EVIDENCE_AGE_S = 0.04
+"""Maximum age of the latest data of any stream that shows that this node's own
+link works, in seconds."""
 
 MAX_OVERRUN_S = 0.04
 """Maximum overrun of a round's time-outs, in seconds. Beyond it the result is
@@ -61,12 +61,12 @@
         shared: context.RelayContext,
         work: background.Background,
         moves: stream_moves.StreamMoves,
-        questions: engine_questions.EngineQuestions,
+        queries: engine_questions.EngineQueries,
     ) -> None:
         self.shared = shared
         self.work = work
         self.moves = moves
-        self.questions = questions
+        self.queries = queries
         self.backoffs: dict[str, probe_timing.ProbeBackoff] = {}
 
     def start_due_round(self, now: float) -> None:
@@ -99,16 +99,15 @@
     ) -> dict[str, relayed.PathPart]:
         """Returns the engines behind silent streams, by instance.
 
-        Engines on the path of a stream that is not silent are alive: most gaps
-        concern a single stream and start no query. Live engines are collected
-        only if some stream is silent. Done at each check, fifty times a
-        second, this would be the largest cost of streams besides forwarding
-        their events.
+        Skips engines that another stream shows to be alive: most gaps concern
+        a single stream and start no query. Live engines are collected only if
+        some stream is silent, since the check runs 50 times a second and this
+        would be the largest cost of streams besides forwarding their events.
         """
         present = [
             (run, attempt)
             for run in streams
-            if (attempt := run.attempt) is not None and not attempt.moving
+            if (attempt := run.attempt) is not None and not attempt.is_moving
         ]
         silent = [
             (run, attempt)
@@ -135,7 +134,7 @@
 
     async def probe(self, parts: dict[str, relayed.PathPart]) -> None:
         """Runs a round over some engines."""
-        probed = ProbeRound(self.shared, self.questions, self.moves)
+        probed = ProbeRound(self.shared, self.queries, self.moves)
         await probed.run(list(parts.values()))
 
 
@@ -150,11 +149,11 @@
     def __init__(
         self,
         shared: context.RelayContext,
-        questions: engine_questions.EngineQuestions,
+        queries: engine_questions.EngineQueries,
         moves: stream_moves.StreamMoves,
     ) -> None:
         self.shared = shared
-        self.questions = questions
+        self.queries = queries
         self.moves = moves
         self.loop = asyncio.get_running_loop()
         self.started_at = self.loop.time()
@@ -176,13 +175,15 @@
         Args:
             part: The engine.
             is_peer_report: Whether another node found it dead too. Then this
-                node's own link is not at fault and needs no proof.
+                node's own link is not at fault and is not checked.
         """
         if await self.answers(part):
             self.answered.set()
             return
         if not is_peer_report and not await self.is_own_link_up():
             return
+        # The second query and the wait for another engine each take up to
+        # ``QUERY_TIMEOUT_S``.
         limit_s = SECOND_QUERY_S + 2 * QUERY_TIMEOUT_S + MAX_OVERRUN_S
         if self.loop.time() - self.started_at > limit_s:
             return
@@ -192,23 +193,23 @@
 
     async def answers(self, part: relayed.PathPart) -> bool:
         """Returns whether an engine answers one of two overlapping queries."""
-        queries = {asyncio.ensure_future(self.query(part))}
+        pending = {asyncio.ensure_future(self.query(part))}
         try:
-            done, _ = await asyncio.wait(queries, timeout=SECOND_QUERY_S)
+            done, _ = await asyncio.wait(pending, timeout=SECOND_QUERY_S)
             if any(query.result() for query in done):
                 return True
-            queries.add(asyncio.ensure_future(self.query(part)))
-            for answered in asyncio.as_completed(queries):
+            pending.add(asyncio.ensure_future(self.query(part)))
+            for answered in asyncio.as_completed(pending):
                 if await answered:
                     return True
             return False
         finally:
-            for query in queries:
+            for query in pending:
                 query.cancel()
 
     async def query(self, part: relayed.PathPart) -> bool:
         """Queries an engine; records its pace if it answers."""
-        report = await self.questions.report(
+        report = await self.queries.report(
             part.instance, part.address, QUERY_TIMEOUT_S
         )
         if report is None:
@@ -224,7 +225,7 @@
             attempt = run.attempt
             if (
                 attempt is not None
-                and now - attempt.active_at < MAX_PROOF_AGE_S
+                and now - attempt.active_at < MAX_LINK_EVIDENCE_AGE_S
             ):
                 return True
         try:
--- a/src/almondshift/relay/plain_run.py
+++ b/src/almondshift/relay/plain_run.py
@@ -38,7 +38,7 @@
         self.head: relayed.ForwardedHead | None = None
         self.body = bytearray()
         self.forwarded: path_engines.ForwardedRequest | None = None
-        self.over = False
+        self.is_over = False
 
     def on_head(self, head: relayed.ForwardedHead) -> None:
         """Stores the head."""
@@ -53,8 +53,8 @@
 
     def on_end(self, ending: path_engines.Ending, reason: str) -> None:
         """Passes the response to the run."""
-        if not self.over:
-            self.over = True
+        if not self.is_over:
+            self.is_over = True
             self.run.attempt_ended(self, ending, reason)
 
 
@@ -92,12 +92,12 @@
         self.sends += 1
         self.shared.endpoints.started(chosen.instance)
         self.attempt = PlainAttempt(self, chosen)
-        self.note_forwarded(
+        self.log_forwarded(
             chosen.address,
             chosen.instance,
             self.shared.endpoints.record(chosen.instance).in_flight,
         )
-        self.unrefused_sends += 1
+        self.sends_that_may_have_run += 1
         self.attempt.forwarded = self.shared.engines.forward(
             self.routed.request,
             relayed.Forwarding(
@@ -131,31 +131,35 @@
         if self.sends > 1:
             return
         self.slow_timer = self.loop.call_later(
-            route.objective_s * SLOW_FACTOR, self.leave_slow_endpoint
+            route.objective_s * SLOW_FACTOR, self.retry_if_slow
         )
 
-    def leave_slow_endpoint(self) -> None:
+    def retry_if_slow(self) -> None:
         """Sends the request to another endpoint, as the first one is slow."""
         attempt = self.attempt
-        if attempt is None or self.ended or attempt.over:
+        if attempt is None or self.ended or attempt.is_over:
             return
         if not self.can_end_in_time():
             # This node stops before a retry would be answered; the first
             # endpoint, which already had time to work, may still answer.
             return
-        if not self.untried() or not self.may_repeat_after(False):
+        if not self.untried() or not self.record_attempt_and_spend_retry(False):
             return
-        self.note_failed(
+        self.log_failed_attempt(
             attempt.endpoint.instance, "too slow", False, runs.SENT_ELSEWHERE
         )
         self.drop_attempt(failed=True)
         self.begin()
 
-    def may_repeat_after(self, is_not_run: bool) -> bool:
-        """Counts the current attempt; returns whether a retry is allowed."""
+    def record_attempt_and_spend_retry(self, is_not_run: bool) -> bool:
+        """Counts an attempt that may have run, then tries to spend a retry.
+
+        Returns:
+            Whether the request may be sent again.
+        """
         if not is_not_run:
             self.possible_runs += 1
-        return self.may_repeat(is_not_run)
+        return self.try_spend_retry(is_not_run)
 
     def attempt_ended(
         self,
@@ -179,7 +183,7 @@
             if head.status < SERVER_ERROR and head.genuine:
                 self.shared.endpoints.answered(instance, seconds, now)
                 self.shared.crashes.note_answered(self.routed)
-                self.note_time()
+                self.record_response_time()
                 self.pass_on(attempt, head)
                 return
             self.shared.endpoints.failed(instance, now)
@@ -201,6 +205,7 @@
         instance = attempt.endpoint.instance
         now = self.shared.clock.monotonic()
         if head.status == 421:
+            # The address now belongs to another engine.
             self.shared.book.suspect(instance, engine_book.Suspicion.GONE, now)
         self.shared.endpoints.failed(instance, now)
         self.retry_or_end(
@@ -211,14 +216,17 @@
         """Retries elsewhere, or passes the endpoint's error response on."""
         head = attempt.head
         assert head is not None
-        if self.routed.route.may_repeat and self.may_repeat_after(False):
+        if self.routed.route.may_repeat and self.record_attempt_and_spend_retry(
+            False
+        ):
             self.last_failure = attempt
-            self.note_failed(
+            self.log_failed_attempt(
                 attempt.endpoint.instance, reason, False, runs.SENT_ELSEWHERE
             )
             self.begin()
             return
         if head.status < SERVER_ERROR or not head.genuine:
+            # Passes on only errors that the endpoint marked as its own.
             self.refuse(self.may_have_run_error(reason))
             return
         self.pass_on(attempt, head)
@@ -228,13 +236,15 @@
     ) -> None:
         """Retries elsewhere if that is allowed, or gives up."""
         if is_not_run:
-            self.unrefused_sends -= 1
+            self.sends_that_may_have_run -= 1
         instance = attempt.endpoint.instance
-        if self.may_repeat_after(is_not_run):
-            self.note_failed(instance, reason, is_not_run, runs.SENT_ELSEWHERE)
+        if self.record_attempt_and_spend_retry(is_not_run):
+            self.log_failed_attempt(
+                instance, reason, is_not_run, runs.SENT_ELSEWHERE
+            )
             self.begin()
             return
-        self.note_failed(instance, reason, is_not_run, runs.GIVEN_UP)
+        self.log_failed_attempt(instance, reason, is_not_run, runs.GIVEN_UP)
         if is_not_run and self.possible_runs == 0:
             self.give_up(reason)
             return
@@ -260,7 +270,7 @@
         self.responder.send_whole(
             head.status, head.headers, bytes(attempt.body)
         )
-        self.answered()
+        self.complete()
 
     def cancel_slow_timer(self) -> None:
         """Cancels the timer for the first endpoint."""
@@ -278,7 +288,7 @@
         self.attempt = None
         if attempt is None:
             return
-        attempt.over = True
+        attempt.is_over = True
         if attempt.forwarded is not None:
             attempt.forwarded.cancel()
         instance = attempt.endpoint.instance
@@ -293,10 +303,10 @@
         self.cancel_slow_timer()
         self.drop_attempt(failed=False)
 
-    def length(self) -> float:
+    def expected_response_tokens(self) -> float:
         """Returns 0, as plain responses have no tokens."""
         return 0.0
 
-    def size(self) -> int:
+    def sent_event_count(self) -> int:
         """Returns 0, as plain responses have no tokens."""
         return 0
--- a/src/almondshift/relay/refusing_engines.py
+++ b/src/almondshift/relay/refusing_engines.py
@@ -1,7 +1,7 @@
 """Engines that refuse new work before the registry lists them as leaving.
 
-Load pattern: engines are drained during a store outage. The registry still
-lists them as ready, and every node sends them requests. Each refusal uses up
+If engines are drained during a store outage, the registry still lists them as
+ready, and every node sends them requests. Each refusal uses up
 one of the few attempts of a request, and after some of them its caller is
 refused although other engines have room.
 
--- a/src/almondshift/relay/runs.py
+++ b/src/almondshift/relay/runs.py
@@ -16,34 +16,49 @@
     from almondshift.relay import context
 
 MAX_SENDS = 4
-"""Maximum number of sends of one request, refused ones included."""
+"""Maximum number of sends of one request, refused ones included. The route's
+``max_attempts`` limits only sends after which an endpoint may have run it."""
 
 RETRY_FLOOR_S = 0.6
 RETRY_CEILING_S = 1.6
 """Range of Retry-After, in seconds: the time in which lost layers are loaded or
-a burst is worked off, randomised so that callers do not return together."""
+a burst has passed, randomised so that callers do not return together."""
 
 LEAVING_RETRY_S = 0.05
 """Retry-After of a node that shuts down, in seconds; other nodes accept
 requests at once."""
 
 ANSWERED = "ok"
+"""Metric label of a run whose response is complete."""
+
 SENT_ELSEWHERE = "sent elsewhere"
+"""Logged next step of a failed attempt: the request is sent again at once."""
+
 WAITS = "waits for room"
+"""Logged next step of a failed attempt: a stream that has begun waits for
+capacity or retry budget."""
+
 GIVEN_UP = "given up"
+"""Logged next step of a failed attempt: the request is not sent again."""
 
 
 class Run(relays.Relaying):
-    """A request that is being served.
+    """A request that is being served, by one or more attempts in turn.
+
+    Every attempt counts in ``sends``. It also counts in
+    ``sends_that_may_have_run`` until the request is known not to have run, and
+    in ``possible_runs`` once it has ended without that certainty.
 
     Attributes:
         started_at: Loop time of its arrival.
-        deadline_at: Loop time at which its response is due.
-        caller_deadline_at: Loop time until which the caller waits.
+        deadline_at: Loop time at which this node ends the request.
+        caller_deadline_at: Loop time until which the caller waits; later than
+            ``deadline_at`` if the caller waits longer than the route allows.
         sends: Number of times it was sent.
-        possible_runs: Number of live endpoints that may have run it.
-        unrefused_sends: Number of sends for which no endpoint reported that it
-            did not run the request.
+        possible_runs: Number of ended attempts that may have run it. Streams
+            leave out those whose first engine is lost.
+        sends_that_may_have_run: Number of sends that may have run the request,
+            the current one included.
     """
 
     def __init__(
@@ -66,7 +81,7 @@
         )
         self.sends = 0
         self.possible_runs = 0
-        self.unrefused_sends = 0
+        self.sends_that_may_have_run = 0
         self.ended = False
         self.timer = self.loop.call_at(self.deadline_at, self.time_out)
         shared.running.add(self)
@@ -74,7 +89,7 @@
     @property
     def may_have_run(self) -> bool:
         """Whether any endpoint may have begun to run it."""
-        return self.unrefused_sends > 0
+        return self.sends_that_may_have_run > 0
 
     def begin(self) -> None:
         """Sends the request, unless this node stops before it would complete.
@@ -100,7 +115,7 @@
         """Sends the request to an endpoint or path, or refuses it."""
 
     @abc.abstractmethod
-    def length(self) -> float:
+    def expected_response_tokens(self) -> float:
         """Returns the expected tokens of the response; 0 if it has none."""
 
     def can_end_in_time(self) -> bool:
@@ -109,17 +124,19 @@
         if self.deadline_at - self.loop.time() <= left_s:
             return True
         unfinished = [
-            answer_times.UnfinishedAnswer(run.length(), run.elapsed_s())
+            answer_times.UnfinishedAnswer(
+                run.expected_response_tokens(), run.elapsed_s()
+            )
             for run in self.shared.running
             if isinstance(run, Run)
             and run.routed.service == self.routed.service
         ]
         expected_s = self.shared.times.expected_s(
-            self.routed.service, self.length(), unfinished
+            self.routed.service, self.expected_response_tokens(), unfinished
         )
         return expected_s <= left_s
 
-    def note_time(self) -> None:
+    def record_response_time(self) -> None:
         """Records how long a complete response took.
 
         Streams that the caller resumed are left out, as only their rest was
@@ -129,7 +146,7 @@
             return
         self.shared.times.note(
             self.routed.service,
-            self.length(),
+            self.expected_response_tokens(),
             self.loop.time() - self.started_at,
         )
 
@@ -138,8 +155,11 @@
         """Cancels the work of endpoints."""
 
     @abc.abstractmethod
-    def size(self) -> int:
-        """Returns the number of events sent to the caller, for the log."""
+    def sent_event_count(self) -> int:
+        """Returns the number of events sent to the caller.
+
+        The log also uses it as the number of tokens.
+        """
 
     def remaining_s(self) -> float:
         """Returns the seconds that the caller still waits."""
@@ -155,7 +175,7 @@
         self.shared.running.discard(self)
         return True
 
-    def answered(self) -> None:
+    def complete(self) -> None:
         """Ends a run whose response is complete."""
         if not self.close():
             return
@@ -165,7 +185,7 @@
                 request_id=self.routed.request.request_id,
                 account=self.routed.account,
                 service=self.routed.service,
-                tokens=self.size(),
+                tokens=self.sent_event_count(),
                 seconds=self.elapsed_s(),
                 recoveries=max(0, self.sends - 1),
             )
@@ -178,7 +198,7 @@
         observer = self.shared.observer
         observer.ended.labels(error.kind).inc()
         if self.responder.head_sent:
-            observer.emit(self.abandoned(error.kind))
+            observer.emit(self.abandoned_event(error.kind))
             self.responder.break_off()
             return
         observer.emit(
@@ -193,14 +213,14 @@
         )
         self.responder.fail(error)
 
-    def abandoned(self, kind: str) -> log_events.RequestAbandoned:
-        """Returns the log event of an incomplete response."""
+    def abandoned_event(self, kind: str) -> log_events.RequestAbandoned:
+        """Creates the log event of an incomplete response."""
         return log_events.RequestAbandoned(
             request_id=self.routed.request.request_id,
             account=self.routed.account,
             service=self.routed.service,
             kind=kind,
-            tokens=self.size(),
+            tokens=self.sent_event_count(),
         )
 
     def refuse_no_capacity(self, reason: str) -> None:
@@ -223,7 +243,7 @@
             return
         self.responder.ended = True
         self.shared.observer.ended.labels("abandoned").inc()
-        self.shared.observer.emit(self.abandoned("caller_gone"))
+        self.shared.observer.emit(self.abandoned_event("caller_gone"))
 
     def time_out(self) -> None:
         """Ends a run whose deadline has passed."""
@@ -240,7 +260,7 @@
         that the request may have run. A closed connection alone would leave
         open whether a non-idempotent request was executed.
         """
-        self.note_cut()
+        self.log_cut()
         self.refuse(
             self.may_have_run_error("This node stopped before the response.")
         )
@@ -251,7 +271,7 @@
             return errors.UpstreamFailed(reason)
         return errors.OutcomeUnknown(reason)
 
-    def note_cut(self) -> None:
+    def log_cut(self) -> None:
         """Logs that this run was cut because the node stops."""
         self.shared.observer.emit(
             log_events.AnswerCut(
@@ -259,11 +279,11 @@
                 service=self.routed.service,
                 age_s=self.elapsed_s(),
                 draining_s=round(self.shared.drain.since_s(), 3),
-                tokens=self.size(),
+                tokens=self.sent_event_count(),
             )
         )
 
-    def note_forwarded(self, path: str, instances: str, load: float) -> None:
+    def log_forwarded(self, path: str, instances: str, load: float) -> None:
         """Logs that the request is sent to an endpoint or over a path."""
         self.shared.observer.emit(
             log_events.RequestForwarded(
@@ -278,7 +298,7 @@
             )
         )
 
-    def note_failed(
+    def log_failed_attempt(
         self, instance: str, reason: str, is_not_run: bool, next_step: str
     ) -> None:
         """Logs and counts a failed attempt."""
@@ -289,7 +309,7 @@
                 endpoint=instance,
                 reason=reason,
                 not_run=is_not_run,
-                events_sent=self.size(),
+                events_sent=self.sent_event_count(),
                 next_step=next_step,
             )
         )
@@ -298,8 +318,12 @@
         """Returns the seconds since arrival, rounded for the log."""
         return round(self.loop.time() - self.started_at, 4)
 
-    def could_run_elsewhere(self) -> bool:
-        """Returns whether a running request may be run on another endpoint."""
+    def can_retry_while_running(self) -> bool:
+        """Returns whether a running request may be run on another endpoint.
+
+        Counts the current attempt as one that may have run the request, as its
+        engine is alive. Spends no retry budget.
+        """
         route = self.routed.route
         return (
             route.may_repeat
@@ -310,11 +334,11 @@
             )
         )
 
-    def may_repeat(self, is_not_run: bool) -> bool:
-        """Returns whether the request may be sent again; spends retry budget.
+    def try_spend_retry(self, is_not_run: bool) -> bool:
+        """Spends retry budget; returns whether the request may be sent again.
 
         A request that may have run is retried only if its route allows it, and
-        on no more live endpoints than operators allow.
+        only while ``possible_runs`` is below the route's ``max_attempts``.
 
         Args:
             is_not_run: Whether the last endpoint did not run the request.
--- a/src/almondshift/relay/silence_watch.py
+++ b/src/almondshift/relay/silence_watch.py
@@ -1,9 +1,9 @@
 """Detects stalled streams and the engine that causes the stall.
 
-A request that depends on a dead engine stalls for seconds, while callers leave
-after two. The stream itself does not show which engine it waits for, but the
-first engine of its path reports it. Therefore unusual silence triggers one
-query to that engine, for all streams through it.
+A request that depends on a dead engine stalls for seconds, while callers
+disconnect after two. The stream itself does not show which engine it waits for,
+but the first engine of its path reports it. Therefore unusual silence triggers
+one query to that engine, for all streams through it.
 """
 
 from __future__ import annotations
@@ -32,7 +32,8 @@
 which cannot show a stall sooner."""
 
 FIRST_SILENT_S = 0.5
-"""The same before the first event, while the prompt is prefilled."""
+"""Silence before the first event that triggers a query, in seconds; longer, as
+the prompt is prefilled."""
 
 QUERY_GAP_S = 0.2
 """Minimum interval between queries to one engine, in seconds."""
@@ -47,7 +48,7 @@
 
     Attributes:
         moves: Moves streams off engines.
-        questions: Queries engines for reports.
+        queries: Queries engines for reports.
         probe: Finds dead engines behind silent streams.
         unanswered: Unanswered queries in a row, by instance.
     """
@@ -56,11 +57,11 @@
         self.shared = shared
         self.work = background.Background()
         self.moves = stream_moves.StreamMoves(shared, self.work)
-        self.questions = engine_questions.EngineQuestions(
+        self.queries = engine_questions.EngineQueries(
             shared, self.work, self.moves
         )
         self.probe = path_probe.PathProbe(
-            shared, self.work, self.moves, self.questions
+            shared, self.work, self.moves, self.queries
         )
         self.next_engine_check_at = 0.0
         self.queried_at: dict[str, float] = {}
@@ -84,7 +85,7 @@
         """Drops an engine that is gone."""
         self.queried_at.pop(instance, None)
         self.unanswered.pop(instance, None)
-        self.questions.forget(instance)
+        self.queries.forget(instance)
         self.probe.forget(instance)
 
     def check_all(self) -> None:
@@ -96,7 +97,7 @@
         now = asyncio.get_running_loop().time()
         if now >= self.next_engine_check_at:
             self.next_engine_check_at = now + ENGINE_CHECK_INTERVAL_S
-            self.questions.query_due()
+            self.queries.query_due()
 
     def check_reported(
         self, engine: registered_engines.RegisteredEngine, peer: str
@@ -110,7 +111,7 @@
     ) -> None:
         """Checks an engine that a peer found dead, and logs the result."""
         part = relayed.PathPart(engine.instance, engine.address, 0, 0)
-        probed = path_probe.ProbeRound(self.shared, self.questions, self.moves)
+        probed = path_probe.ProbeRound(self.shared, self.queries, self.moves)
         await probed.check(part, is_peer_report=True)
         self.shared.observer.emit(
             log_events.EndpointDoubted(
@@ -126,7 +127,7 @@
         now = asyncio.get_running_loop().time()
         for run in self.moves.streams():
             attempt = run.attempt
-            if attempt is None or attempt.moving:
+            if attempt is None or attempt.is_moving:
                 continue
             limit = SILENT_S if run.events_sent else FIRST_SILENT_S
             if now - attempt.active_at < limit:
@@ -139,7 +140,7 @@
 
     async def query_first_engine(self, first: relayed.PathPart) -> None:
         """Queries an engine; ejects the engines that its streams wait for."""
-        report = await self.questions.report(first.instance, first.address)
+        report = await self.queries.report(first.instance, first.address)
         if report is None:
             self.note_unanswered(first)
             return
@@ -154,7 +155,7 @@
                     engine.instance, engine_book.Suspicion.STALLED
                 )
         if not addresses:
-            self.questions.query_paces(self.silent_parts(first))
+            self.queries.query_paces(self.engines_behind(first))
 
     def note_unanswered(self, first: relayed.PathPart) -> None:
         """Counts an unanswered query; ejects the engine after several."""
@@ -166,7 +167,7 @@
                 first.instance, engine_book.Suspicion.UNREACHABLE
             )
 
-    def silent_parts(
+    def engines_behind(
         self, first: relayed.PathPart
     ) -> dict[str, relayed.PathPart]:
         """Returns the engines behind silent streams of a first engine."""
--- a/src/almondshift/relay/stream_attempt.py
+++ b/src/almondshift/relay/stream_attempt.py
@@ -26,7 +26,7 @@
         active_at: Loop time of the last received data, successful move or, at
             first, of the send.
         is_stream: Whether the response is the requested stream.
-        moving: Whether a move is in progress.
+        is_moving: Whether a move is in progress.
     """
 
     def __init__(
@@ -42,8 +42,8 @@
         self.failure = bytearray()
         self.splitter = events.EventSplitter()
         self.forwarded: path_engines.ForwardedRequest | None = None
-        self.moving = False
-        self.over = False
+        self.is_moving = False
+        self.is_over = False
 
     @property
     def first(self) -> relayed.PathPart:
@@ -58,7 +58,7 @@
 
     def on_data(self, data: bytes) -> None:
         """Passes complete events on."""
-        if self.over:
+        if self.is_over:
             return
         if not self.is_stream:
             self.failure += data
@@ -76,7 +76,7 @@
 
     def abort(self, reason: str) -> None:
         """Aborts an attempt whose response is invalid."""
-        if self.over:
+        if self.is_over:
             return
         if self.forwarded is not None:
             self.forwarded.cancel()
@@ -84,6 +84,6 @@
 
     def on_end(self, ending: path_engines.Ending, reason: str) -> None:
         """Passes the end to the run."""
-        if not self.over:
-            self.over = True
+        if not self.is_over:
+            self.is_over = True
             self.run.attempt_ended(self, ending, reason)
--- a/src/almondshift/relay/stream_moves.py
+++ b/src/almondshift/relay/stream_moves.py
@@ -1,4 +1,4 @@
-"""Moves streams off engines that are lost, leaving or slow."""
+"""Moves streams off engines that are lost, shutting down or slow."""
 
 from __future__ import annotations
 
@@ -24,22 +24,23 @@
 silence that triggers a probe."""
 
 LEAVE_INTERVAL_S = 0.2
-"""Interval between moves of streams off leaving engines, in seconds."""
+"""Interval between moves of streams off engines that shut down, in seconds."""
 
 LEAVE_MARGIN_S = 0.4
-"""Time before a leaving engine may stop from which its streams also move to
-other zones, in seconds; covers the delay until its notice arrives."""
+"""Streams may move to other zones this long before an engine that shuts down
+may stop, in seconds; covers the delay until its notice arrives."""
 
 LEAVE_EXTRA_S = 1.0
-"""Time for which such moves are still tried, in seconds."""
+"""Time after that point for which moves off the engine are retried, in
+seconds."""
 
 
 class StreamMoves:
     """Moves a node's streams.
 
     Attributes:
-        leaving: Loop time at which it became known that an engine leaves, by
-            instance.
+        leaving: Loop time at which it became known that an engine shuts down,
+            by instance.
         checked_at: Loop time of the last check of all streams.
         late_s: Delay of that check, in seconds.
     """
@@ -81,9 +82,10 @@
     def is_streaming(self, instance: str) -> bool:
         """Returns whether streams currently receive events from an engine.
 
-        Only streams whose first engine it is count: a crash closes their
-        connections at once, so waiting for that costs nothing. Streams over
-        slow engines have long gaps; silence counts once it would start a probe.
+        Considers only streams connected directly to the engine: a crash closes
+        their connections at once, so treating it as alive until then delays
+        nothing. Streams over slow engines have long gaps, so silence counts
+        only once it would start a probe.
         """
         now = asyncio.get_running_loop().time() - self.unscheduled_s()
         ages_and_limits = [
@@ -114,7 +116,7 @@
         now = asyncio.get_running_loop().time()
         return max(self.late_s, now - self.checked_at - CHECK_INTERVAL_S)
 
-    def engine_slow(self, instance: str, pace: float) -> None:
+    def on_engine_slow(self, instance: str, pace: float) -> None:
         """Moves streams off an engine that has just become slow.
 
         Must not be called for each report of an engine that is still slow: with
@@ -128,15 +130,15 @@
         )
         self.move_from(instance, is_forced=False)
 
-    def engine_leaving(self, instance: str) -> None:
-        """Starts to move streams off a leaving engine."""
+    def on_engine_leaving(self, instance: str) -> None:
+        """Starts to move streams off an engine that shuts down."""
         self.leaving[instance] = asyncio.get_running_loop().time()
         self.move_from(instance, is_forced=False)
 
     def move_off_leaving(self) -> None:
-        """Moves streams off leaving engines once their zone has replacements.
+        """Moves streams off engines that shut down, if possible in their zone.
 
-        Other engines of the zone load the layers while the leaving engine still
+        Other engines of the zone load the layers while such an engine still
         serves. Streams wait for them rather than move to another zone, until
         the notice period is nearly over.
         """
--- a/src/almondshift/relay/stream_run.py
+++ b/src/almondshift/relay/stream_run.py
@@ -23,11 +23,13 @@
     from almondshift.relay import events
 
 RESUME_RETRY_S = 0.15
-"""Interval between searches for a path for a broken stream, in seconds."""
+"""Interval between searches for a path, or for retry budget, for a stream that
+has begun, in seconds."""
 
 NO_EVENT_SHARE = 0.75
-"""Share of the callers' patience after which a stream without a first event
-counts against its first engine; earlier disconnects have other reasons."""
+"""Share of the silence after which callers are assumed to disconnect. From it
+on, a stream without a first event counts against its first engine; earlier
+disconnects have other reasons."""
 
 MAX_MOVE_ORDERS = 4
 """Maximum orders per move. Each refusal identifies another engine that is dead
@@ -37,6 +39,7 @@
 """Time-out of an order, in seconds; live engines answer within milliseconds."""
 
 HIGHEST_PRIORITY = 9
+"""Maximum priority that is sent to engines."""
 
 
 class StreamRun(runs.Run):
@@ -127,11 +130,11 @@
     def may_wait_for_capacity(self, is_not_run: bool) -> bool:
         """Returns whether a stream that has begun may wait for capacity.
 
-        Full engines refuse within milliseconds and run nothing, and on a node
-        that has just started such refusals use up the retry budget. If they
-        ended the stream, its caller would be left with an incomplete response.
-        A search every 0.15 s until callers leave is at most a dozen sends,
-        each within the retry budget.
+        Full engines refuse within milliseconds and run nothing. Such refusals
+        can use up the retry budget of a newly started node, and ending the
+        stream would leave its caller with an incomplete response. A search
+        every 0.15 s (``RESUME_RETRY_S``) until callers disconnect is at most a
+        dozen sends, each within the retry budget.
         """
         route = self.routed.route
         return (
@@ -147,12 +150,12 @@
         attempt = stream_attempt.StreamAttempt(self, chosen)
         self.attempt = attempt
         self.shared.book.add(attempt.used, self.tokens)
-        self.note_forwarded(
+        self.log_forwarded(
             format_path(chosen.path),
             ",".join(part.instance for part in chosen.path),
             round(chosen.load, 3),
         )
-        self.unrefused_sends += 1
+        self.sends_that_may_have_run += 1
         attempt.forwarded = self.shared.engines.forward(
             self.routed.request,
             relayed.Forwarding(
@@ -176,20 +179,25 @@
                 self.routed.service, route.objective_s
             )
             self.first_event_timer = self.loop.call_later(
-                wait_s, self.leave_silent_engine
+                wait_s, self.retry_if_no_first_event
             )
 
-    def leave_silent_engine(self) -> None:
+    def retry_if_no_first_event(self) -> None:
         """Resumes elsewhere if the first engine is alive but sends nothing.
 
         A stream that cannot run elsewhere stays, as it may only be queued.
         """
         attempt = self.attempt
-        if attempt is None or self.ended or attempt.over or attempt.moving:
+        if (
+            attempt is None
+            or self.ended
+            or attempt.is_over
+            or attempt.is_moving
+        ):
             return
         if self.responder.head_sent:
             return
-        if not self.could_run_elsewhere():
+        if not self.can_retry_while_running():
             return
         avoid = self.failed_engines | {attempt.first.instance}
         if self.choose_path(avoid) is None:
@@ -215,7 +223,7 @@
 
         Events that the caller already has are dropped.
         """
-        fresh: list[bytes] = []
+        new_events: list[bytes] = []
         for event in received:
             if event.event_id is not None:
                 if self.last_id is not None:
@@ -224,8 +232,8 @@
                     if event.event_id != self.last_id + 1:
                         return False
                 self.last_id = event.event_id
-            fresh.append(event.data)
-        if not fresh:
+            new_events.append(event.data)
+        if not new_events:
             return True
         now = self.loop.time()
         if not self.responder.head_sent:
@@ -236,8 +244,8 @@
             self.responder.send_head(attempt.head.status, attempt.head.headers)
         elif now - self.progress_at > self.routed.route.event_gap_s:
             self.shared.observer.silence_seconds.observe(now - self.progress_at)
-        self.responder.send_data(b"".join(fresh))
-        self.events_sent += len(fresh)
+        self.responder.send_data(b"".join(new_events))
+        self.events_sent += len(new_events)
         self.progress_at = now
         return True
 
@@ -280,9 +288,9 @@
             self.responder.send_head(attempt.head.status, attempt.head.headers)
         self.shared.observer.attempts.labels("answered").inc()
         self.shared.crashes.note_answered(self.routed)
-        self.note_time()
+        self.record_response_time()
         self.responder.finish()
-        self.answered()
+        self.complete()
 
     def handle_failure(
         self, attempt: stream_attempt.StreamAttempt, head: relayed.ForwardedHead
@@ -296,6 +304,7 @@
             self.retry_or_end(attempt, reason, is_not_run=True)
             return
         if self.responder.head_sent or not head.genuine:
+            # Passes on only errors that the engine marked as its own.
             self.retry_or_end(
                 attempt, f"status {head.status}", is_not_run=False
             )
@@ -304,7 +313,7 @@
         self.responder.send_whole(
             head.status, head.headers, bytes(attempt.failure)
         )
-        self.answered()
+        self.complete()
 
     def avoid_refusing_engine(
         self, attempt: stream_attempt.StreamAttempt, head: relayed.ForwardedHead
@@ -315,13 +324,15 @@
             if part.address != address:
                 continue
             if head.status == 421:
+                # The address belongs to another engine, or the engine does
+                # not hold the layers.
                 self.shared.lost.suspect(
                     part.instance, engine_book.Suspicion.REFUSED
                 )
             else:
-                self.note_refused(part.instance, part.address)
+                self.avoid_and_query(part.instance, part.address)
 
-    def note_refused(self, instance: str, address: str) -> None:
+    def avoid_and_query(self, instance: str, address: str) -> None:
         """Avoids an engine that refused, and triggers queries to it.
 
         Its report and its health check show whether it is full, draining or
@@ -345,53 +356,55 @@
         ran, and would not retry.
         """
         if is_not_run:
-            self.unrefused_sends -= 1
+            self.sends_that_may_have_run -= 1
         elif not self.shared.book.is_lost(attempt.first.instance):
             self.possible_runs += 1
-        allowed = self.may_repeat(is_not_run)
-        waits = not allowed and self.may_wait_for_capacity(is_not_run)
+        allowed = self.try_spend_retry(is_not_run)
+        should_wait = not allowed and self.may_wait_for_capacity(is_not_run)
         next_step = runs.GIVEN_UP
         if allowed:
             next_step = runs.SENT_ELSEWHERE
-        elif waits:
+        elif should_wait:
             next_step = runs.WAITS
-        self.note_failed(attempt.first.instance, reason, is_not_run, next_step)
+        self.log_failed_attempt(
+            attempt.first.instance, reason, is_not_run, next_step
+        )
         if allowed:
             self.begin()
-        elif waits:
+        elif should_wait:
             self.search_later(self.resume_within_budget)
         else:
             self.refuse_no_capacity(reason)
 
     def resume_elsewhere(self, reason: str, is_gone: bool = False) -> None:
-        """Leaves the current path, whose first engine is lost.
+        """Resumes the stream on another path, or keeps it on the current one.
 
-        A stream that cannot be resumed elsewhere stays unless that engine is
-        gone. A live engine counts as lost if it does not respond for a tenth of
-        a second; leaving it would abort a response that may continue a moment
-        later. If the engine is dead, the wait ends when the caller leaves, the
-        connection closes or the route's time-out expires.
+        It is kept if it may not run again and the engine may still run it: a
+        live engine counts as lost if it does not reply to a probe for a tenth
+        of a second, and may continue the response a moment later. If the engine
+        is dead, the wait ends when the caller disconnects, the connection
+        closes or the route's time-out expires.
 
         Args:
             reason: Reason for the log.
             is_gone: Whether the engine certainly no longer runs the stream.
         """
         attempt = self.attempt
-        if attempt is None or self.ended or attempt.over:
+        if attempt is None or self.ended or attempt.is_over:
             return
-        if not is_gone and not self.may_run_again():
+        if not is_gone and not self.can_retry_after_loss():
             return
-        attempt.over = True
+        attempt.is_over = True
         if attempt.forwarded is not None:
             attempt.forwarded.cancel()
         self.release_attempt()
         self.retry_or_end(attempt, reason, is_not_run=False)
 
-    def may_run_again(self) -> bool:
+    def can_retry_after_loss(self) -> bool:
         """Returns whether the stream may run again after a lost engine.
 
-        Spends no retry budget, and does not count the lost engine as one that
-        ran the request.
+        Unlike for a live engine, the current attempt does not count as one
+        that may have run the request. Spends no retry budget.
         """
         route = self.routed.route
         return (
@@ -407,18 +420,23 @@
         """Moves the running request off an engine.
 
         Args:
-            away_from: The engine that is lost, leaving or slow.
+            away_from: The engine that is lost, shutting down or slow.
             is_forced: Whether the stream would be cut otherwise; if not, it
                 moves only within its availability zone.
         """
         attempt = self.attempt
-        if attempt is None or attempt.moving or attempt.over or self.ended:
+        if (
+            attempt is None
+            or attempt.is_moving
+            or attempt.is_over
+            or self.ended
+        ):
             return
-        attempt.moving = True
+        attempt.is_moving = True
         try:
             await self.move_attempt(attempt, away_from, is_forced)
         finally:
-            attempt.moving = False
+            attempt.is_moving = False
 
     async def move_attempt(
         self,
@@ -428,11 +446,12 @@
     ) -> None:
         """Orders the first engine to use another path.
 
-        A move to another zone transfers all tokens of the request over the
-        link between the zones, and all other streams of the zone do the same:
-        60 streams of 900 tokens keep a link of 26 Gbit/s busy for 1.5 seconds,
-        and callers leave after two. The stream is instead resumed from its last
-        event by engines of the other zone, which prefill only the prompt.
+        Forced moves do not cross zones if the stream can be resumed, from its
+        last event, on a path within one zone: its engines prefill only the
+        prompt. A move to another zone transfers all tokens of the request over
+        the link between the zones, and all other streams of the zone do the
+        same: 60 streams of 900 tokens keep a link of 26 Gbit/s busy for 1.5
+        seconds, and callers disconnect after two.
         """
         view = self.shared.catalogue.view(self.routed.service)
         if view is None:
@@ -447,11 +466,11 @@
                 if not is_forced:
                     return
                 if self.has_single_zone_path(away_from):
-                    self.note_move(attempt, away_from, "resumed elsewhere")
+                    self.log_move(attempt, away_from, "resumed elsewhere")
                     self.resume_elsewhere("its path lost an engine")
                     return
             if chosen is None:
-                self.note_move(attempt, away_from, "no path")
+                self.log_move(attempt, away_from, "no path")
                 return
             refused_by = await self.repath(attempt, away_from, chosen)
             if not refused_by:
@@ -482,14 +501,14 @@
                 ),
                 "",
             )
-        self.note_move(
+        self.log_move(
             attempt,
             away_from,
             answer.outcome.value,
             format_path(chosen.path),
             refused_by,
         )
-        if attempt.over or attempt is not self.attempt:
+        if attempt.is_over or attempt is not self.attempt:
             return ""
         if answer.outcome in (
             path_engines.OrderOutcome.DONE,
@@ -500,12 +519,12 @@
             self.shared.book.add(attempt.used, self.tokens)
             attempt.active_at = self.loop.time()
         if refused_by:
-            self.note_refused(refused_by, answer.faulty_address)
+            self.avoid_and_query(refused_by, answer.faulty_address)
         return refused_by
 
     def has_single_zone_path(self, away_from: str) -> bool:
         """Returns whether a path within a single zone could run the request."""
-        if not self.could_run_elsewhere():
+        if not self.can_retry_while_running():
             return False
         found = self.choose_path(self.failed_engines)
         return (
@@ -514,7 +533,7 @@
             and all(part.instance != away_from for part in found.path)
         )
 
-    def note_move(
+    def log_move(
         self,
         attempt: stream_attempt.StreamAttempt,
         away_from: str,
@@ -545,7 +564,7 @@
         super().caller_gone()
 
     def note_no_event(self, attempt: stream_attempt.StreamAttempt) -> None:
-        """Records a first engine that sent nothing for nearly too long."""
+        """Records a first engine that sent no event for nearly too long."""
         waited_s = self.loop.time() - attempt.sent_at
         if waited_s >= NO_EVENT_SHARE * self.routed.route.patience_s:
             now = self.shared.clock.monotonic()
@@ -567,16 +586,16 @@
         attempt = self.attempt
         if attempt is None:
             return
-        attempt.over = True
+        attempt.is_over = True
         if attempt.forwarded is not None:
             attempt.forwarded.cancel()
         self.release_attempt()
 
-    def length(self) -> float:
+    def expected_response_tokens(self) -> float:
         """Returns the expected tokens of the response."""
         return self.answer_tokens
 
-    def size(self) -> int:
+    def sent_event_count(self) -> int:
         """Returns the number of events sent to the caller."""
         return self.events_sent
 
--- a/src/almondshift/relay/table_watch.py
+++ b/src/almondshift/relay/table_watch.py
@@ -26,7 +26,7 @@
 
 WAIT_S = 2.5
 """Long-poll time of requests for changes, in seconds; bounds the time until a
-lost answer is noticed."""
+lost reply is noticed."""
 
 RETRY_MIN_S = 0.2
 RETRY_MAX_S = 0.6
@@ -51,8 +51,9 @@
         revision: Newest revision that the copy covers; None before the first
             read.
         confirmed_at: Monotonic time at which the store last confirmed the copy.
-        outage_ended_at: Monotonic time of the end of the last store outage.
-        complete_since: The copy has all changes after this revision, removals
+        outage_ended_at: Monotonic time at which the last store outage ended;
+            far in the past before the first one.
+        complete_since: Revision after which the copy has all changes, removals
             included. A peer with an older copy needs all rows.
         newest_row_revision: Revision of the newest change in the copy.
         wait_s: Long-poll time of requests for changes.
@@ -63,7 +64,8 @@
             itself.
         on_full_read: Called with all rows of a full read.
         ask_peers: Requests newer rows from peers; None without peers.
-        pause_s: Pause after changes, so that one answer carries several.
+        pause_s: Pause after each successful read, in seconds, so that the
+            next one carries several changes.
     """
 
     def __init__(
@@ -112,7 +114,8 @@
     def age_s(self) -> float:
         """Returns how long ago the copy was last known to be current."""
         if self.outage_since is None and self.revision is not None:
-            # A long poll is pending; it would have returned any change.
+            # A long poll is pending and would have returned any change; it
+            # lasts up to ``WAIT_S``, with a second of margin.
             return min(self.clock.monotonic() - self.confirmed_at, WAIT_S + 1)
         return self.clock.monotonic() - self.confirmed_at
 
@@ -123,7 +126,8 @@
         if self.revision is None or self.outage_since is not None:
             return False
         if self.confirmation is None or self.confirmation.done():
-            # Concurrent denials, here or at peers, share one request.
+            # Concurrent callers, such as requests with an unknown key and
+            # peers, share one request to the store.
             loop = asyncio.get_running_loop()
             self.confirmation = loop.create_task(self._confirm(max_age_s))
         return await asyncio.shield(self.confirmation)
@@ -168,9 +172,9 @@
 
         All rows, if changes after that revision may be missing here; otherwise
         the peer would keep rows for ever that were removed before this copy
-        began. Nodes that restart together ask for revisions just before the
-        first one of their reader, so rows that the peer already has are listed
-        by key only.
+        began. If the peer supports it, rows that are not newer than its
+        revision are then listed by key only. This is common when nodes restart
+        together, as their revisions are just older than this copy's first one.
         """
         is_whole = self.revision is not None and revision < self.complete_since
         rows = list(self.rows.values())
@@ -280,14 +284,14 @@
         self.changed = asyncio.Event()
 
     def _apply_changes(self, change: row_feeds.TableChange) -> None:
-        fresh = [row for row in change.rows if self._is_newer(row)]
-        for row in fresh:
+        newer = [row for row in change.rows if self._is_newer(row)]
+        for row in newer:
             self.rows[row.key] = row
         self.revision = max(self.revision or 0, change.revision)
         self._drop_tombstones()
-        if fresh:
-            self._note_changed(max(row.revision for row in fresh))
-            self.on_rows(fresh, True)
+        if newer:
+            self._note_changed(max(row.revision for row in newer))
+            self.on_rows(newer, True)
 
     def _is_newer(self, row: row_feeds.FeedRow) -> bool:
         known = self.rows.get(row.key)
@@ -319,16 +323,16 @@
             self._apply_peer_rows(rows)
 
     def _apply_peer_rows(self, rows: tuple[row_feeds.FeedRow, ...]) -> None:
-        fresh = []
+        newer = []
         for row in rows:
             if self._is_newer(row):
                 self.rows[row.key] = row
-                fresh.append(row)
+                newer.append(row)
         # The copy's revision stays: only answers of the store prove that no
         # change before it is missing. Older rows are rejected by their own
         # revisions.
-        if fresh:
-            self.on_rows(fresh, False)
+        if newer:
+            self.on_rows(newer, False)
 
     def _note_outage(self) -> None:
         if self.outage_since is not None:
--- a/tests/relay/test_layer_keeper.py
+++ b/tests/relay/test_layer_keeper.py
@@ -120,8 +120,8 @@
             cast("context.RelayContext", shared),
             cast("coordination_lease.Lease", FakeLease()),
         )
-        self.known.on_engine.append(self.keeper.engine_changed)
-        self.known.on_gone.append(self.keeper.engine_gone)
+        self.known.on_engine.append(self.keeper.on_engine_changed)
+        self.known.on_gone.append(self.keeper.on_engine_gone)
         for instance, layers in held.items():
             self.set_layers(instance, *(layers or (0, 0)))
 
--- a/tests/relay/test_path_probe.py
+++ b/tests/relay/test_path_probe.py
@@ -68,7 +68,7 @@
     asyncio.run(scenario())
 
 
-class FakeQuestions:
+class FakeQueries:
     """Engines whose answers the test controls.
 
     Attributes:
@@ -105,16 +105,14 @@
     """Otherwise streams would be late before their dead engine is found."""
     shared: Any = FakeShared()
     moves: Any = FakeMoves(shared.book)
-    questions = FakeQuestions()
-    queries: Any = questions
+    fake = FakeQueries()
+    queries: Any = fake
     probed = path_probe.ProbeRound(shared, queries, moves)
     probed.answered.set()
     part = relayed.PathPart("e", "e:1", 0, 1)
     checked = asyncio.create_task(probed.check(part))
-    await asynchronous.wait_until(
-        lambda: len(questions.asked.get("e", [])) == 2
-    )
-    for query, outcome in zip(questions.asked["e"], outcomes, strict=True):
+    await asynchronous.wait_until(lambda: len(fake.asked.get("e", [])) == 2)
+    for query, outcome in zip(fake.asked["e"], outcomes, strict=True):
         if outcome is not None:
             query.set_result(outcome)
     await checked
@@ -126,9 +124,9 @@
     """Otherwise streams on a dead engine would wait for another's backoff."""
     shared: Any = FakeShared()
     moves: Any = FakeMoves(shared.book)
-    questions: Any = FakeQuestions()
+    queries: Any = FakeQueries()
     work = background.Background()
-    probe = path_probe.PathProbe(shared, work, moves, questions)
+    probe = path_probe.PathProbe(shared, work, moves, queries)
     moves.runs = [FakeRun(0.35, ["busy"])]
     probe.start_due_round(2.0)
     probe.start_due_round(2.05)
@@ -136,7 +134,7 @@
     moves.runs.append(FakeRun(0.35, ["dead"]))
     probe.start_due_round(2.1)
     assert len(work) == 2
-    await asynchronous.wait_until(lambda: "dead" in questions.asked)
+    await asynchronous.wait_until(lambda: "dead" in queries.asked)
     await work.close()
 
 
@@ -155,7 +153,7 @@
 class FakeAttempt:
     def __init__(self, active_at: float, names: Iterable[str]) -> None:
         self.active_at = active_at
-        self.moving = False
+        self.is_moving = False
         self.path = tuple(
             relayed.PathPart(name, f"{name}:1", 0, 1) for name in names
         )
