--- a/src/almondshift/relay/application.py
+++ b/src/almondshift/relay/application.py
@@ -396,7 +396,7 @@
     def engine_gone(self, engine: registered_engines.RegisteredEngine) -> None:
         """Forgets an engine and its connections, as its address is reused.
 
-        Some engines do not announce that they leave: only their entry is
+        Some engines do not announce that they shut down: only their entry is
         removed, and they keep serving for as long as those that announce it.
         """
         self.silence.moves.on_engine_leaving(engine.instance)
--- a/src/almondshift/relay/group.py
+++ b/src/almondshift/relay/group.py
@@ -98,7 +98,7 @@
     async def shared_secret(self) -> str:
         """Returns the secret that all nodes share; the first node creates it.
 
-        Waits until the store answers, since without the secret a node can
+        Waits until the store replies, since without the secret a node can
         neither authenticate to peers nor verify them.
         """
         while True:
--- a/src/almondshift/relay/layer_keeper.py
+++ b/src/almondshift/relay/layer_keeper.py
@@ -28,8 +28,8 @@
 first few would have to be undone."""
 
 ORDER_TIMEOUT_S = 0.8
-"""Time-out of an order, in seconds. Engines answer within milliseconds, but
-some answers are lost."""
+"""Time-out of an order, in seconds. Engines reply within milliseconds, but
+some replies are lost."""
 
 RESEND_S = 1.0
 """Time after which an unanswered order is sent again, in seconds. Each order
@@ -58,9 +58,9 @@
             if the registry does not list them yet.
         resend_at: Monotonic time at which to send it again; None if no resend
             is due.
-        is_unanswered: Whether the engine did not answer or refused it. The
+        is_unanswered: Whether the engine did not reply or refused it. The
             plan then assigns the layers to other engines as well while the
-            order is resent, since the engine may not answer for a long time.
+            order is resent, since the engine may not reply for a long time.
     """
 
     layers: model_layers.LayerRange
--- a/src/almondshift/relay/path_probe.py
+++ b/src/almondshift/relay/path_probe.py
@@ -33,7 +33,7 @@
     from almondshift.relay import stream_run
 
 QUERY_TIMEOUT_S = 0.05
-"""Time-out of a query, in seconds; live engines in the region answer within
+"""Time-out of a query, in seconds; live engines in the region reply within
 milliseconds."""
 
 SECOND_QUERY_S = 0.02
@@ -74,7 +74,7 @@
 
         Backoff is per engine: a stream that waits for a busy engine must not
         delay the probe of another stream's dead engine. A round queries all
-        engines behind silent streams, since those that answer prove that this
+        engines behind silent streams, since those that reply show that this
         node's own link works.
         """
         parts = self.silent_parts(self.moves.streams(), now)
@@ -142,7 +142,7 @@
     """One round of queries.
 
     Attributes:
-        answered: Set once any engine has answered.
+        answered: Set once any engine has replied.
         lost: Instances that were found dead.
     """
 
@@ -170,7 +170,7 @@
         """Checks one engine and moves streams off it if it is dead.
 
         A refused connection is known within milliseconds, so the streams of
-        that engine do not wait for the answers of the others.
+        that engine do not wait for the replies of the others.
 
         Args:
             part: The engine.
@@ -192,7 +192,7 @@
             self.lost.append(part.instance)
 
     async def answers(self, part: relayed.PathPart) -> bool:
-        """Returns whether an engine answers one of two overlapping queries."""
+        """Returns whether one of two overlapping queries gets a reply."""
         pending = {asyncio.ensure_future(self.query(part))}
         try:
             done, _ = await asyncio.wait(pending, timeout=SECOND_QUERY_S)
@@ -208,7 +208,7 @@
                 query.cancel()
 
     async def query(self, part: relayed.PathPart) -> bool:
-        """Queries an engine; records its pace if it answers."""
+        """Queries an engine; records its pace if it replies."""
         report = await self.queries.report(
             part.instance, part.address, QUERY_TIMEOUT_S
         )
@@ -219,7 +219,7 @@
         return True
 
     async def is_own_link_up(self) -> bool:
-        """Returns whether some engine answers or sends events at present."""
+        """Returns whether some engine replies or sends events at present."""
         now = self.loop.time()
         for run in self.moves.streams():
             attempt = run.attempt
--- a/src/almondshift/relay/peer_rows.py
+++ b/src/almondshift/relay/peer_rows.py
@@ -20,7 +20,7 @@
         wait_s: Maximum time for which the peer may wait for a change.
         is_fresh: Whether the peer should first confirm its copy with the store.
         takes_unchanged: Whether rows that are not newer than ``after`` may be
-            listed in the answer by key only.
+            listed in the reply by key only.
     """
 
     after: int
@@ -38,7 +38,7 @@
 
 
 class PeerRows(msgspec.Struct):
-    """A peer's answer.
+    """A peer's reply.
 
     Attributes:
         revision: The newest revision that it covers.
@@ -73,7 +73,7 @@
 
 
 def encode_answer(change: row_feeds.TableChange) -> bytes:
-    """Encodes an answer."""
+    """Encodes a reply."""
     encoded = [
         PeerRow(row.key, _encoded(row.value), row.revision)
         for row in change.rows
@@ -89,10 +89,10 @@
 
 
 def decode_answer(answer: bytes) -> row_feeds.TableChange:
-    """Decodes an answer.
+    """Decodes a reply.
 
     Raises:
-        ValueError: The answer or one of its rows is malformed.
+        ValueError: The reply or one of its rows is malformed.
     """
     decoded = ANSWER_DECODER.decode(answer)
     return row_feeds.TableChange(
--- a/src/almondshift/relay/plain_run.py
+++ b/src/almondshift/relay/plain_run.py
@@ -137,7 +137,7 @@
     def retry_if_slow(self) -> None:
         """Sends the request to another endpoint, as the first one is slow."""
         attempt = self.attempt
-        if attempt is None or self.ended or attempt.is_over:
+        if attempt is None or self.is_ended or attempt.is_over:
             return
         if not self.can_end_in_time():
             # This node stops before a retry would be answered; the first
--- a/src/almondshift/relay/runs.py
+++ b/src/almondshift/relay/runs.py
@@ -82,7 +82,7 @@
         self.sends = 0
         self.possible_runs = 0
         self.sends_that_may_have_run = 0
-        self.ended = False
+        self.is_ended = False
         self.timer = self.loop.call_at(self.deadline_at, self.time_out)
         shared.running.add(self)
 
@@ -98,7 +98,7 @@
         response. An immediate refusal that states that nothing was run is
         better for the caller, as another node has time to serve the request.
         """
-        if self.ended:
+        if self.is_ended:
             return
         if self.may_have_run or self.can_end_in_time():
             self.dispatch()
@@ -167,9 +167,9 @@
 
     def close(self) -> bool:
         """Ends the run; returns whether it had not ended before."""
-        if self.ended:
+        if self.is_ended:
             return False
-        self.ended = True
+        self.is_ended = True
         self.timer.cancel()
         self.cancel_work()
         self.shared.running.discard(self)
--- a/src/almondshift/relay/shared_feed.py
+++ b/src/almondshift/relay/shared_feed.py
@@ -20,7 +20,7 @@
     from almondshift.relay import group as relay_group
 
 ANSWER_MARGIN_S = 0.4
-"""Time for a reader's answer in addition to the requested wait, in seconds."""
+"""Time for a reader's reply in addition to the requested wait, in seconds."""
 
 MAX_READERS_TRIED = 2
 """Readers tried before the store itself; a third would only add delay. They are
@@ -38,7 +38,7 @@
         direct: The store.
         group: The other nodes; None before this node has joined them.
         next_store_call_at: Monotonic time before which the store is not called,
-            as it did not answer.
+            as it did not reply.
         skipped_until: Monotonic time until which a reader that failed is
             skipped, by name.
     """
@@ -146,7 +146,7 @@
     def _update_backoff(
         self, result: expression.Result[T, stores.StoreError]
     ) -> expression.Result[T, stores.StoreError]:
-        """Updates the backoff by whether the store answered."""
+        """Updates the backoff by whether the store replied."""
         if result.is_ok() or self.group is None:
             self.next_store_call_at = 0.0
             return result
@@ -168,7 +168,7 @@
 
 
 def _change_in(body: bytes) -> row_feeds.TableChange | None:
-    """Decodes a reader's answer; returns None if it is malformed."""
+    """Decodes a reader's reply; returns None if it is malformed."""
     try:
         return peer_rows.decode_answer(body)
     except ValueError:
--- a/src/almondshift/relay/silence_watch.py
+++ b/src/almondshift/relay/silence_watch.py
@@ -90,7 +90,7 @@
 
     def check_all(self) -> None:
         """Checks streams and engines, and starts queries and moves."""
-        self.moves.note_check()
+        self.moves.record_check()
         self.probe.start_due_round(asyncio.get_running_loop().time())
         self.query_first_engines()
         self.moves.move_off_leaving()
@@ -142,7 +142,7 @@
         """Queries an engine; ejects the engines that its streams wait for."""
         report = await self.queries.report(first.instance, first.address)
         if report is None:
-            self.note_unanswered(first)
+            self.count_unanswered(first)
             return
         self.unanswered.pop(first.instance, None)
         now = self.shared.clock.monotonic()
@@ -157,7 +157,7 @@
         if not addresses:
             self.queries.query_paces(self.engines_behind(first))
 
-    def note_unanswered(self, first: relayed.PathPart) -> None:
+    def count_unanswered(self, first: relayed.PathPart) -> None:
         """Counts an unanswered query; ejects the engine after several."""
         count = self.unanswered.get(first.instance, 0) + 1
         self.unanswered[first.instance] = count
--- a/src/almondshift/relay/stream_attempt.py
+++ b/src/almondshift/relay/stream_attempt.py
@@ -22,7 +22,7 @@
 
     Attributes:
         path: The engines that run it.
-        used: The parts of the path as counted in the engine tracker.
+        counted_parts: The parts of the path as counted in the engine tracker.
         active_at: Loop time of the last received data, successful move or, at
             first, of the send.
         is_stream: Whether the response is the requested stream.
@@ -34,7 +34,7 @@
     ) -> None:
         self.run = run
         self.path = chosen.path
-        self.used = chosen.used
+        self.counted_parts = chosen.used
         self.sent_at = run.loop.time()
         self.active_at = self.sent_at
         self.head: relayed.ForwardedHead | None = None
--- a/src/almondshift/relay/stream_moves.py
+++ b/src/almondshift/relay/stream_moves.py
@@ -102,7 +102,7 @@
             age_s < limit_s for age_s, limit_s in ages_and_limits
         )
 
-    def note_check(self) -> None:
+    def record_check(self) -> None:
         """Records the time of a check of all streams, and its delay."""
         now = asyncio.get_running_loop().time()
         self.late_s = max(0.0, now - self.checked_at - CHECK_INTERVAL_S)
--- a/src/almondshift/relay/stream_run.py
+++ b/src/almondshift/relay/stream_run.py
@@ -36,7 +36,7 @@
 or full, and several engines of a rack may die at once."""
 
 MOVE_TIMEOUT_S = 0.4
-"""Time-out of an order, in seconds; live engines answer within milliseconds."""
+"""Time-out of an order, in seconds; live engines reply within milliseconds."""
 
 HIGHEST_PRIORITY = 9
 """Maximum priority that is sent to engines."""
@@ -118,7 +118,7 @@
 
     def resume_within_budget(self) -> None:
         """Resumes the stream once the retry budget allows it."""
-        if self.ended:
+        if self.is_ended:
             return
         if self.shared.budget.spend(
             self.routed.service, self.shared.clock.monotonic()
@@ -149,7 +149,7 @@
         self.sends += 1
         attempt = stream_attempt.StreamAttempt(self, chosen)
         self.attempt = attempt
-        self.shared.book.add(attempt.used, self.tokens)
+        self.shared.book.add(attempt.counted_parts, self.tokens)
         self.log_forwarded(
             format_path(chosen.path),
             ",".join(part.instance for part in chosen.path),
@@ -190,7 +190,7 @@
         attempt = self.attempt
         if (
             attempt is None
-            or self.ended
+            or self.is_ended
             or attempt.is_over
             or attempt.is_moving
         ):
@@ -202,12 +202,12 @@
         avoid = self.failed_engines | {attempt.first.instance}
         if self.choose_path(avoid) is None:
             return
-        self.note_first_event_wait(attempt)
-        self.note_no_event(attempt)
+        self.record_first_event_wait(attempt)
+        self.record_no_first_event(attempt)
         self.failed_engines = avoid
         self.resume_elsewhere("no first event")
 
-    def note_first_event_wait(
+    def record_first_event_wait(
         self, attempt: stream_attempt.StreamAttempt
     ) -> None:
         """Records the time to the first event, or until it was given up."""
@@ -239,7 +239,7 @@
         if not self.responder.head_sent:
             assert attempt.head is not None
             self.first_at = now
-            self.note_first_event_wait(attempt)
+            self.record_first_event_wait(attempt)
             self.shared.observer.first_seconds.observe(now - self.started_at)
             self.responder.send_head(attempt.head.status, attempt.head.headers)
         elif now - self.progress_at > self.routed.route.event_gap_s:
@@ -256,7 +256,7 @@
         reason: str,
     ) -> None:
         """Finishes the stream, or continues it elsewhere."""
-        if attempt is not self.attempt or self.ended:
+        if attempt is not self.attempt or self.is_ended:
             return
         self.release_attempt()
         is_complete = ending is path_engines.Ending.WHOLE
@@ -390,7 +390,7 @@
             is_gone: Whether the engine certainly no longer runs the stream.
         """
         attempt = self.attempt
-        if attempt is None or self.ended or attempt.is_over:
+        if attempt is None or self.is_ended or attempt.is_over:
             return
         if not is_gone and not self.can_retry_after_loss():
             return
@@ -429,7 +429,7 @@
             attempt is None
             or attempt.is_moving
             or attempt.is_over
-            or self.ended
+            or self.is_ended
         ):
             return
         attempt.is_moving = True
@@ -514,9 +514,9 @@
             path_engines.OrderOutcome.DONE,
             path_engines.OrderOutcome.BEGUN,
         ):
-            self.shared.book.remove(attempt.used, self.tokens)
-            attempt.path, attempt.used = chosen.path, chosen.used
-            self.shared.book.add(attempt.used, self.tokens)
+            self.shared.book.remove(attempt.counted_parts, self.tokens)
+            attempt.path, attempt.counted_parts = chosen.path, chosen.used
+            self.shared.book.add(attempt.counted_parts, self.tokens)
             attempt.active_at = self.loop.time()
         if refused_by:
             self.avoid_and_query(refused_by, answer.faulty_address)
@@ -560,10 +560,12 @@
         If no event has arrived, the wait may count against the first engine.
         """
         if self.attempt is not None and not self.responder.head_sent:
-            self.note_no_event(self.attempt)
+            self.record_no_first_event(self.attempt)
         super().caller_gone()
 
-    def note_no_event(self, attempt: stream_attempt.StreamAttempt) -> None:
+    def record_no_first_event(
+        self, attempt: stream_attempt.StreamAttempt
+    ) -> None:
         """Records a first engine that sent no event for nearly too long."""
         waited_s = self.loop.time() - attempt.sent_at
         if waited_s >= NO_EVENT_SHARE * self.routed.route.patience_s:
@@ -577,7 +579,7 @@
         if self.first_event_timer is not None:
             self.first_event_timer.cancel()
         if attempt is not None:
-            self.shared.book.remove(attempt.used, self.tokens)
+            self.shared.book.remove(attempt.counted_parts, self.tokens)
 
     def cancel_work(self) -> None:
         """Cancels the work of engines."""
--- a/src/almondshift/relay/table_watch.py
+++ b/src/almondshift/relay/table_watch.py
@@ -1,8 +1,8 @@
 """Follows a table of the store, through peers if the store is unreachable.
 
 A node that cannot reach the store while others can would act on outdated keys
-and send work to engines that are leaving. Its peers hold the same rows, so it
-asks them for newer ones.
+and send work to engines that are shutting down. Its peers hold the same rows,
+so it asks them for newer ones.
 """
 
 from __future__ import annotations
@@ -328,7 +328,7 @@
             if self._is_newer(row):
                 self.rows[row.key] = row
                 newer.append(row)
-        # The copy's revision stays: only answers of the store prove that no
+        # The copy's revision stays: only replies of the store show that no
         # change before it is missing. Older rows are rejected by their own
         # revisions.
         if newer:
