--- a/src/almondshift/policy/account_limits.py
+++ b/src/almondshift/policy/account_limits.py
@@ -1,16 +1,15 @@
 """Token rate limits of client accounts, enforced across all nodes.
 
-Load pattern: an account spreads its requests over many nodes. If each node
-allowed the full limit, eight nodes would allow eight times as much. A fixed
-equal share per node would hold an account that uses one node to an eighth of
-what it paid for.
-
-Rationale: each node measures its own usage and receives the usage of the
-others with a delay through ``PeerLoad``. ``shares`` computes from that a share
-per node; the shares add up to the limit after one exchange. The token bucket
-holds two seconds of the share, about one exchange and its propagation between
-the nodes. A request may overdraw the bucket, so that a request larger than the
-bucket can still run; the account then waits until the debt is paid.
+An account spreads its requests over many nodes. If each node allowed the full
+limit, eight nodes would allow eight times as much. A fixed equal share per node
+would hold an account that uses one node to an eighth of what it paid for.
+
+Each node measures its own usage and receives the usage of the others with a
+delay through ``PeerLoad``. ``shares`` computes from that a share per node; the
+shares add up to the limit after one exchange. The token bucket holds two
+seconds of the share, about one exchange and its propagation between the nodes.
+A request may overdraw the bucket, so that a request larger than the bucket can
+still run; the account then waits until the debt is paid.
 """
 
 from __future__ import annotations
--- a/src/almondshift/policy/admission.py
+++ b/src/almondshift/policy/admission.py
@@ -1,15 +1,15 @@
 """Admission control: refuses requests that can't be answered in time.
 
-Load pattern: sustained overload. If every request is admitted, the queue grows
-until all requests are answered after their deadline: the engines are busy, but
-callers get no useful answers.
+If every request were admitted under sustained overload, the queue would grow
+until all requests are answered after their deadline: the engines would be busy,
+but callers would get no useful answers.
 
-Rationale: a request is admitted if it is expected to finish before its
-deadline, given the wait predicted from the fair queue and the drain rate and
-its own run time. Otherwise it is refused on arrival, when its caller can still
-react. A request may spend half of the slack between its run time and its
-deadline on waiting, because both figures are estimates and an admitted request
-that misses its deadline has used an engine for nothing.
+A request is admitted if it is expected to finish before its deadline, given the
+wait predicted from the fair queue and the drain rate and its own run time.
+Otherwise it is refused on arrival, when its caller can still react. A request
+may spend half of the slack between its run time and its deadline on waiting,
+because both figures are estimates and an admitted request that misses its
+deadline has used an engine for nothing.
 
 The cap by priority keeps the queue short for interactive requests. Two seconds
 of queue is more than the variation of completions within a second, so the
--- a/src/almondshift/policy/answer_times.py
+++ b/src/almondshift/policy/answer_times.py
@@ -1,10 +1,10 @@
 """How long the next answer will take, estimated from recent ones.
 
-Load pattern: a node that is asked to stop has some seconds left, and requests
-still arrive for three seconds. Under low load all their answers end in time.
-While engines are overloaded the same stream takes three times as long, and is
-cut off. Without an estimate a node can only accept all requests, or refuse all,
-most of which it could have served.
+A node that is asked to stop has some seconds left, and requests still arrive
+for three seconds. Under low load all their answers end in time. While engines
+are overloaded the same stream takes three times as long, and is cut off.
+Without an estimate a node can only accept all requests, or refuse all, most of
+which it could have served.
 
 Time is assumed proportional to the requested tokens, since engines give all
 streams about the same speed. Callers' estimates of their answers are often
--- a/src/almondshift/policy/baseline.py
+++ b/src/almondshift/policy/baseline.py
@@ -1,11 +1,11 @@
 """Baseline router: FIFO, with round robin over complete chains.
 
-Load pattern: none in particular; the other modules are measured against this
-router. It rotates over chains regardless of load, dispatches requests at once,
-and has no limits and no budgets.
+The other modules are measured against this router. It rotates over chains
+regardless of load, dispatches requests at once, and has no limits and no
+budgets.
 
-Rationale: this is what a plain round-robin balancer does. A module that is not
-better than this under the load that it addresses has no place in the router.
+This is what a plain round-robin balancer does. A module that is not better than
+this under the load that it addresses has no place in the router.
 """
 
 from __future__ import annotations
--- a/src/almondshift/policy/burn.py
+++ b/src/almondshift/policy/burn.py
@@ -1,8 +1,8 @@
 """Burn rates of service-level error budgets, merged over many nodes.
 
-Load pattern: a fault that consumes the budget fast (minutes) or slowly (days).
-An alarm on a short window alone fires for passing spikes; one on a long window
-alone fires hours late and stays on long after the fault has ended.
+A fault may consume the budget fast (in minutes) or slowly (in days). An alarm
+on a short window alone fires for passing spikes; one on a long window alone
+fires hours late and stays on long after the fault has ended.
 
 The windows and thresholds are those of the Google SRE Workbook, chapter 5, for
 a 30-day budget: 14.4 times the allowed rate over 1 h and 5 min uses 2% of the
--- a/src/almondshift/policy/capacity_shares.py
+++ b/src/almondshift/policy/capacity_shares.py
@@ -1,9 +1,9 @@
 """Each path's share of all requests, and how a node follows the shares.
 
-Load pattern: hundreds of nodes have a few requests each at a time, fewer than
-there are paths. If each takes the best path on which it has no request, the
-best one gets a request of every node. With 200 nodes that is twice the slots of
-its first engine, and callers wait there while slower paths are nearly empty.
+Hundreds of nodes have a few requests each at a time, fewer than there are
+paths. If each takes the best path on which it has no request, the best one gets
+a request of every node. With 200 nodes that is twice the slots of its first
+engine, and callers wait there while slower paths are nearly empty.
 
 So the total number of requests is estimated from this node's own, and is
 distributed such that all paths in use cost the same and none gets more than it
--- a/src/almondshift/policy/chain_choice.py
+++ b/src/almondshift/policy/chain_choice.py
@@ -1,21 +1,20 @@
 """Chain selection: the path of least expected time through the layer graph.
 
-Load pattern: accelerators of different speeds that hold overlapping layer
-ranges, connected by links of different latency. Round robin over chains runs
-at the pace of the slowest engine and leaves fast ones idle; always choosing
-the best chain makes all nodes with the same outdated report choose the same
-one.
-
-Rationale: the time of a chain is the sum of its stages, so the fastest chain
-is a shortest path over layer boundaries. Engines with the same range form one
-group. For each group a few engines with spare capacity are sampled at random
-and the best of them represents the group (see ``pools``), so that the cost
-depends on the number of ranges and not on the number of engines. The expected
-time of an engine grows with its utilisation, up to three times the idle time
-at its limit. Requests therefore go where there is spare capacity, in
-proportion to it, and a scarce range is left to the requests that need it. The
-node carries activations itself, so each stage costs two passes over the link
-between the availability zones of the node and the engine.
+Accelerators differ in speed, hold overlapping layer ranges, and are connected
+by links of different latency. Round robin over chains runs at the pace of the
+slowest engine and leaves fast ones idle; always choosing the best chain makes
+all nodes with the same outdated report choose the same one.
+
+The time of a chain is the sum of its stages, so the fastest chain is a shortest
+path over layer boundaries. Engines with the same range form one group. For each
+group a few engines with spare capacity are sampled at random and the best of
+them represents the group (see ``pools``), so that the cost depends on the
+number of ranges and not on the number of engines. The expected time of an
+engine grows with its utilisation, up to three times the idle time at its limit.
+Requests therefore go where there is spare capacity, in proportion to it, and a
+scarce range is left to the requests that need it. The node carries activations
+itself, so each stage costs two passes over the link between the availability
+zones of the node and the engine.
 """
 
 from __future__ import annotations
--- a/src/almondshift/policy/concurrency.py
+++ b/src/almondshift/policy/concurrency.py
@@ -1,17 +1,16 @@
 """Limits on the number of requests that a node runs on an engine.
 
-Load pattern: many concurrent requests through several nodes that learn an
-engine's load with a delay. Without a bound, requests beyond a full batch wait
-inside the engine, where they can't be reordered by account or refused, and the
-time between tokens grows for every request. With a bound that each node applies
-to the entire engine, eight nodes overshoot eightfold within the delay of one
+Many concurrent requests reach an engine through several nodes, which learn its
+load with a delay. Without a bound, requests beyond a full batch wait inside the
+engine, where they can't be reordered by account or refused, and the time
+between tokens grows for every request. With a bound that each node applies to
+the entire engine, eight nodes overshoot eightfold within the delay of one
 report.
 
-Rationale: by Little's law an engine with full batches of ``max_batch`` needs
-``rate * cycle`` concurrent requests, where the cycle is the time of one token
-through the entire chain. With fewer, its batches are not full and throughput
-is lost; with more, requests queue. An extra fifth covers the variation of
-batches.
+By Little's law an engine with full batches of ``max_batch`` needs ``rate *
+cycle`` concurrent requests, where the cycle is the time of one token through
+the entire chain. With fewer, its batches are not full and throughput is lost;
+with more, requests queue. An extra fifth covers the variation of batches.
 
 If the chain is faster than the objective for the time between tokens, requests
 are admitted up to six tenths of the objective: batching then raises throughput,
--- a/src/almondshift/policy/crash_strikes.py
+++ b/src/almondshift/policy/crash_strikes.py
@@ -1,9 +1,8 @@
 """Detects requests that crash each endpoint that runs them, over all nodes.
 
-Load pattern: one request crashes its endpoint, its caller retries through any
-node, and the next endpoint crashes too. Without a limit that spans nodes, a
-single caller takes down one endpoint after another, each with all other work on
-it.
+One request crashes its endpoint, its caller retries through any node, and the
+next endpoint crashes too. Without a limit that spans nodes, a single caller
+takes down one endpoint after another, each with all other work on it.
 
 A request is identified by its fingerprint. It gets a strike for each attempt
 during which an endpoint broke the connection and then turned out to be gone;
--- a/src/almondshift/policy/drain_rate.py
+++ b/src/almondshift/policy/drain_rate.py
@@ -1,15 +1,15 @@
 """Estimate of the rate at which waiting work is served.
 
-Load pattern: a burst after a quiet time, and engines that become slower under
-load. The rate served in quiet times says nothing about the capacity, and a
-rate from the engines' descriptions doesn't reflect slow engines.
-
-Rationale: while requests wait, the served rate equals the capacity. The
-measured rate is therefore used, averaged over two seconds (about ten to forty
-completions on thirty engines). In the first two seconds of a queue, the rate
-implied by the requests in flight (the sum of cost by expected time) is used if
-it is higher. It is weighted by six tenths, because estimates at dispatch don't
-include the requests that follow.
+A burst may follow a quiet time, and engines may become slower under load. The
+rate served in quiet times says nothing about the capacity, and a rate from the
+engines' descriptions doesn't reflect slow engines.
+
+While requests wait, the served rate equals the capacity. The measured rate is
+therefore used, averaged over two seconds (about ten to forty completions on
+thirty engines). In the first two seconds of a queue, the rate implied by the
+requests in flight (the sum of cost by expected time) is used if it is higher.
+It is weighted by six tenths, because estimates at dispatch don't include the
+requests that follow.
 """
 
 from __future__ import annotations
--- a/src/almondshift/policy/ejection.py
+++ b/src/almondshift/policy/ejection.py
@@ -1,22 +1,22 @@
 """Outlier ejection: removes slow and failing endpoints from service.
 
-Load pattern: one engine answers, but slowly (a throttled accelerator, a
-degraded link). It delays every chain that runs through it, and with several
-stages per chain most requests meet it. Selection by expected time alone sends
-it less work, but never learns that it has recovered.
-
-Rationale: an engine is compared with the median of the engines with the same
-kind of accelerator and the same layers (for plain endpoints, of the same
-service), because mismatched accelerators differ by more than a slow one
-differs from its group. The compared value is the minimum call time in a window
-of at least half a second and five calls, divided by the time expected from the
-engine's description at its present load. The mean time of a call is mostly
-queueing behind other work, which differs tenfold between healthy engines
-(comparing smoothed times ejected healthy engines about fifteen times a second
-in the bench at 1x), while the minimum of a slow engine is as slow as the
-engine. Three times the median is more than a wrongly estimated batch causes,
-and an engine that is ten times slower still answers five calls of a node in
-about a second. No endpoint is judged before half of its group is measured.
+An engine may answer, but slowly (a throttled accelerator, a degraded link). It
+delays every chain that runs through it, and with several stages per chain most
+requests meet it. Selection by expected time alone sends it less work, but never
+learns that it has recovered.
+
+An engine is compared with the median of the engines with the same kind of
+accelerator and the same layers (for plain endpoints, of the same service),
+because mismatched accelerators differ by more than a slow one differs from its
+group. The compared value is the minimum call time in a window of at least half
+a second and five calls, divided by the time expected from the engine's
+description at its present load. The mean time of a call is mostly queueing
+behind other work, which differs tenfold between healthy engines (comparing
+smoothed times ejected healthy engines about fifteen times a second in the bench
+at 1x), while the minimum of a slow engine is as slow as the engine. Three times
+the median is more than a wrongly estimated batch causes, and an engine that is
+ten times slower still answers five calls of a node in about a second. No
+endpoint is judged before half of its group is measured.
 
 At most a fifth of a group, or one endpoint if that is more, may be ejected: if
 more are slow, the load is the cause and ejection makes it worse. The only
--- a/src/almondshift/policy/endpoint_choice.py
+++ b/src/almondshift/policy/endpoint_choice.py
@@ -1,10 +1,11 @@
 """Choice among the endpoints of a service that each run whole requests.
 
-Load pattern: a few endpoints with few slots, one of which becomes slow, hangs,
-or fails some of its requests while it reports itself healthy. With round-robin
-each third request would go to it. So the endpoint with the lowest expected time
-is chosen: the smoothed time of its answers, multiplied by one more than its
-requests in flight. Failures count as slow answers, and their effect decays.
+A service has a few endpoints with few slots, one of which may become slow,
+hang, or fail some of its requests while it reports itself healthy. With
+round-robin each third request would go to it. So the endpoint with the lowest
+expected time is chosen: the smoothed time of its answers, multiplied by one
+more than its requests in flight. Failures count as slow answers, and their
+effect decays.
 
 Answers take 20 to 90 ms and arrive about once a second at a node, so that an
 average over about eight answers reacts within some seconds. Endpoints are only
--- a/src/almondshift/policy/engine_book.py
+++ b/src/almondshift/policy/engine_book.py
@@ -1,9 +1,9 @@
 """This node's view of engines: its own load on them, and their health.
 
-Load pattern: reports are delayed, so that an engine which looks idle in one
-report is filled by all nodes before the next. A dead engine stays registered
-for seconds. The node counts its own requests at once and assumes the same load
-for every other node, since callers choose nodes at random.
+Reports are delayed, so that an engine which looks idle in one report is filled
+by all nodes before the next. A dead engine stays registered for seconds. The
+node counts its own requests at once and assumes the same load for every other
+node, since callers choose nodes at random.
 """
 
 from __future__ import annotations
--- a/src/almondshift/policy/engine_rates.py
+++ b/src/almondshift/policy/engine_rates.py
@@ -1,11 +1,11 @@
 """Token rate of an engine, computed from its own description.
 
-Load pattern: none; engine admission, placement and the hardware bound share
-this computation, so that they agree on what a full engine is.
+Engine admission, placement and the hardware bound share this computation, so
+that they agree on what a full engine is.
 
-Rationale: a batch takes a fixed time plus the work of its items, so the rate
-is highest with full batches. This module is separate from ``flow`` so that a
-node doesn't import networkx (0.24 s at start-up) to route requests.
+A batch takes a fixed time plus the work of its items, so the rate is highest
+with full batches. This module is separate from ``flow`` so that a node doesn't
+import networkx (0.24 s at start-up) to route requests.
 """
 
 from __future__ import annotations
--- a/src/almondshift/policy/engine_sample.py
+++ b/src/almondshift/policy/engine_sample.py
@@ -1,8 +1,8 @@
 """A bounded sample of the engines, for the path search.
 
-Load pattern: thousands of engines, of which dozens in each zone have the same
-accelerator and hold the same layers. A search over all of them for each arrival
-takes most of a node's CPU time.
+A fleet may have thousands of engines, of which dozens in each zone have the
+same accelerator and hold the same layers. A search over all of them for each
+arrival takes most of a node's CPU time.
 
 Engines of such a group are interchangeable, so the search uses a few random
 ones of each. Nodes draw different ones, which also spreads their requests.
--- a/src/almondshift/policy/engine_starts.py
+++ b/src/almondshift/policy/engine_starts.py
@@ -1,9 +1,9 @@
 """Which start of an engine is accepted, of those that its registry rows name.
 
-Load pattern: engines restart under their former name, and a write of the former
-start may reach the store after the first write of the new one. So a later start
-takes precedence over an earlier one. But others write to the registry too: a
-row under an engine's name with a wrong start time, or one in the future, would
+Engines restart under their former name, and a write of the former start may
+reach the store after the first write of the new one. So a later start takes
+precedence over an earlier one. But others write to the registry too: a row
+under an engine's name with a wrong start time, or one in the future, would
 remain the latest for ever, and the engine's own rows would be dropped as late.
 The two are distinguished by the fact that a live engine keeps writing.
 
--- a/src/almondshift/policy/entries.py
+++ b/src/almondshift/policy/entries.py
@@ -1,17 +1,17 @@
 """Selection of the node addresses that callers connect to.
 
-Load pattern: there is no load balancer in front; callers cache an answer for a
-while and connect themselves. If every caller got the same list, the first
-address would take all load. If every account were spread over all nodes, one
-hot account would fill them all.
-
-Rationale: shuffle sharding. Rendezvous hashing assigns a few nodes to each
-account. With 8 nodes and shards of 4, only one pair of accounts in 70 shares
-all its nodes, and a node that joins or leaves affects only the accounts it
-serves. The shard alternates between availability zones, so that working
+There is no load balancer in front; callers cache an answer for a while and
+connect themselves. If every caller got the same list, the first address would
+take all load. If every account were spread over all nodes, one hot account
+would fill them all.
+
+Addresses are chosen by shuffle sharding: rendezvous hashing assigns a few nodes
+to each account. With 8 nodes and shards of 4, only one pair of accounts in 70
+shares all its nodes, and a node that joins or leaves affects only the accounts
+it serves. The shard alternates between availability zones, so that working
 addresses remain when a zone is lost, and grows with the account's weight, so
-that a large account isn't limited to four nodes. Each answer is shuffled
-within the shard, which spreads an account's callers evenly.
+that a large account isn't limited to four nodes. Each answer is shuffled within
+the shard, which spreads an account's callers evenly.
 
 Leaving and stale nodes are omitted while others remain; overloaded ones come
 last. Answers are valid for five seconds, so that callers have stopped using a
--- a/src/almondshift/policy/fair_queue.py
+++ b/src/almondshift/policy/fair_queue.py
@@ -1,18 +1,18 @@
 """Weighted fair queueing of requests between client accounts.
 
-Load patterns: a hot account, and small critical requests among drafts. In a
-single FIFO queue, an account that sends ten times its share gets ten times its
-share and everybody waits for it. With strict priorities, a steady stream of
-urgent requests starves the drafts.
-
-Rationale: start-time fair queueing (Goyal, Vin and Cheng, 1996) is applied
-twice: between priorities and, within each, between accounts. Work is counted
-by cost (prompt and expected tokens), because a count of requests would favour
-accounts with long requests. A priority or account that was idle starts at the
-current virtual time, so a small critical request is next regardless of the
-backlog; one that is always busy gets its weight and no more. The weights of
-16, 4 and 1 leave drafts a twentieth of a system that urgent requests alone
-would fill. Operators configure the weight of an account.
+Some accounts send more than their share, and small critical requests arrive
+among drafts. In a single FIFO queue, an account that sends ten times its share
+gets ten times its share and everybody waits for it. With strict priorities, a
+steady stream of urgent requests starves the drafts.
+
+Start-time fair queueing (Goyal, Vin and Cheng, 1996) is applied twice: between
+priorities and, within each, between accounts. Work is counted by cost (prompt
+and expected tokens), because a count of requests would favour accounts with
+long requests. A priority or account that was idle starts at the current virtual
+time, so a small critical request is next regardless of the backlog; one that is
+always busy gets its weight and no more. The weights of 16, 4 and 1 leave drafts
+a twentieth of a system that urgent requests alone would fill. Operators
+configure the weight of an account.
 
 Long requests have a separate queue within each account, so that a long one
 that may not start yet doesn't block the short ones behind it.
--- a/src/almondshift/policy/feed_readers.py
+++ b/src/almondshift/policy/feed_readers.py
@@ -1,9 +1,9 @@
 """Which nodes read the store's tables for the others.
 
-Load pattern: hundreds of nodes that each follow two tables poll the store for
-changes several times a second, and most often while it is unavailable and all
-retry. The capacity of the store, which is paid for, is spent on queries that
-nearly all have the same answer.
+Hundreds of nodes that each follow two tables poll the store for changes several
+times a second, and most often while it is unavailable and all retry. The
+capacity of the store, which is paid for, is spent on queries that nearly all
+have the same answer.
 
 So in a large group a few nodes, the readers, follow the store, and the others
 query them. A reader's answer states the age of its data, so that a node notices
--- a/src/almondshift/policy/first_event_wait.py
+++ b/src/almondshift/policy/first_event_wait.py
@@ -1,8 +1,8 @@
 """How long a stream may wait for its first event before it is run elsewhere.
 
-Load pattern: an endpoint runs requests and loses their answers, or hangs,
-while its health check and its reports are good. A caller then gets nothing and
-leaves, seconds after other streams had their first event.
+An endpoint may run requests and lose their answers, or hang, while its health
+check and its reports are good. A caller then gets nothing and leaves, seconds
+after other streams had their first event.
 
 So a stream whose first event is overdue, compared with the usual time at this
 node, is run again over another path. When all streams are late, as in a burst,
--- a/src/almondshift/policy/flow.py
+++ b/src/almondshift/policy/flow.py
@@ -1,13 +1,12 @@
 """Upper bound on the tokens per second that the hardware allows.
 
-Load pattern: none; this is the reference for throughput. Without it, a figure
-of tokens per second doesn't show whether the router or the hardware is the
-limit.
-
-Rationale: a token passes through engines that cover every layer once and in
-order. The bound is therefore a maximum flow from the first layer to the last
-through engines, whose capacity is their rate with full batches, and over the
-links between availability zones.
+This is the reference for throughput. Without it, a figure of tokens per second
+doesn't show whether the router or the hardware is the limit.
+
+A token passes through engines that cover every layer once and in order. The
+bound is therefore a maximum flow from the first layer to the last through
+engines, whose capacity is their rate with full batches, and over the links
+between availability zones.
 
 The rate of an engine is that for all layers it holds. Where ranges overlap, a
 request may use fewer layers of an engine, which is then slightly faster than
--- a/src/almondshift/policy/group_size.py
+++ b/src/almondshift/policy/group_size.py
@@ -1,11 +1,10 @@
 """How many nodes share the engines, even before a node has found its peers.
 
-Load pattern: all nodes of a group start at once, after a power loss or an
-outage of the platform, and all rejected callers come back within the same
-second. A node extrapolates from its own requests how full engines are. One that
-has not found any peer yet assumes that it is alone: engines look empty, all
-nodes send everything to the same few, and these refuse requests for which
-others had room.
+All nodes of a group may start at once, after a power loss or an outage of the
+platform, and all rejected callers come back within the same second. A node
+extrapolates from its own requests how full engines are. One that has not found
+any peer yet assumes that it is alone: engines look empty, all nodes send
+everything to the same few, and these refuse requests for which others had room.
 
 Each node that starts writes a row to the store and then reads all rows, within
 some ms. Rows of nodes that are gone remain for minutes, so that rows alone give
--- a/src/almondshift/policy/lanes.py
+++ b/src/almondshift/policy/lanes.py
@@ -1,13 +1,11 @@
 """Lanes: groups of requests that wait for the same engines.
 
-Load pattern: two services use different models or endpoints, and one of them
-is overloaded. In a shared queue, head-of-line blocking by one service would
-delay the other.
-
-Rationale: requests for one model and adapter, or for one plain service,
-compete for the same endpoints. They form one lane with its own fair queue,
-drain rate and time estimates. A lane that is blocked says nothing about
-another one.
+Two services use different models or endpoints, and one of them is overloaded.
+In a shared queue, head-of-line blocking by one service would delay the other.
+
+Requests for one model and adapter, or for one plain service, compete for the
+same endpoints. They form one lane with its own fair queue, drain rate and time
+estimates. A lane that is blocked says nothing about another one.
 
 Run times are learned from observed requests with an exponential moving average
 (a weight of a tenth for each new value, so over about ten requests). Prompt
--- a/src/almondshift/policy/layer_copies.py
+++ b/src/almondshift/policy/layer_copies.py
@@ -1,10 +1,10 @@
 """Which layers an additional engine should hold: faster or second copies.
 
-Load pattern: an engine joins empty, or is a standby whose layers others hold
-too. Streams use the fastest engine of each layer, and pause when it dies. A
-fast engine helps most where only slower ones hold the layers. A slow one helps
-as a second copy, to which streams can be moved without loading any layers, and
-most where a loss would leave the longest hole.
+An engine joins empty, or is a standby whose layers others hold too. Streams use
+the fastest engine of each layer, and pause when it dies. A fast engine helps
+most where only slower ones hold the layers. A slow one helps as a second copy,
+to which streams can be moved without loading any layers, and most where a loss
+would leave the longest hole.
 
 The time of a token is the sum over its layers, so that the gain of a range is a
 sum too, and the best range of a given length is found in one pass. The cost of
--- a/src/almondshift/policy/layer_spread.py
+++ b/src/almondshift/policy/layer_spread.py
@@ -1,10 +1,10 @@
 """Rebalances the layers of a chain in steps, without giving any up.
 
-Load pattern: after engines were lost, came back or were slow for a time, a zone
-holds some layers twice, and others only on one small card full of them, or not
-at all. Repairs after each loss don't resolve that, and the fullest card limits
-the requests that its whole zone admits. The balanced layout keeps the order of
-the engines, so that each loads few layers, and is reached in steps.
+After engines were lost, came back or were slow for a time, a zone holds some
+layers twice, and others only on one small card full of them, or not at all.
+Repairs after each loss don't resolve that, and the fullest card limits the
+requests that its whole zone admits. The balanced layout keeps the order of the
+engines, so that each loads few layers, and is reached in steps.
 """
 
 from __future__ import annotations
--- a/src/almondshift/policy/long_jobs.py
+++ b/src/almondshift/policy/long_jobs.py
@@ -1,15 +1,15 @@
 """Limit on the engine sessions that long requests may hold.
 
-Load pattern: long jobs among short ones. A draft of a thousand tokens holds
-its session fifty times as long as a reply of twenty. Without a bound, long
-requests accumulate until they hold all sessions, and short ones wait for one
-of them to end.
-
-Rationale: while short requests arrive, long ones may hold half of the sessions
-that a node uses on an engine. A session of a short request is released within
-one short run time, so the other half turns over quickly. If no short request
-has arrived for ten seconds, a tenth of the sessions is still reserved, because
-the first short request after a quiet time should not wait either.
+Long requests run among short ones. A draft of a thousand tokens holds its
+session fifty times as long as a reply of twenty. Without a bound, long requests
+accumulate until they hold all sessions, and short ones wait for one of them to
+end.
+
+While short requests arrive, long ones may hold half of the sessions that a node
+uses on an engine. A session of a short request is released within one short run
+time, so the other half turns over quickly. If no short request has arrived for
+ten seconds, a tenth of the sessions is still reserved, because the first short
+request after a quiet time should not wait either.
 
 A request counts as long from 512 tokens. That is about eight times the mean
 length without drafts at the specified load (1.1 M tokens per second for 3,000
--- a/src/almondshift/policy/path_choice.py
+++ b/src/almondshift/policy/path_choice.py
@@ -1,10 +1,10 @@
 """Path selection: which engines run a request, and whether it is admitted.
 
-Load pattern: a burst, or the loss of engines, brings more requests than
-engines have memory for. Engines then preempt the newest requests and prefill
-them again, and all streams stall. A request is admitted only if this node
-estimates that every engine of some path has room for it. Otherwise it is
-refused at once, while its caller still has time to retry.
+A burst, or the loss of engines, brings more requests than engines have memory
+for. Engines then preempt the newest requests and prefill them again, and all
+streams stall. A request is admitted only if this node estimates that every
+engine of some path has room for it. Otherwise it is refused at once, while its
+caller still has time to retry.
 
 Candidate paths are cached between searches, since a search costs more than
 the rest of an arrival.
--- a/src/almondshift/policy/placement.py
+++ b/src/almondshift/policy/placement.py
@@ -1,23 +1,21 @@
 """Placement of model layers on engines.
 
-Load pattern: a fleet of mismatched accelerators, none large enough for a
-model, that changes: engines join without warning and are lost, and operators
-change models and versions. Cutting a model into equal parts leaves large
-accelerators half empty and limits throughput to the slowest one. Replanning
-everything at each change reloads weights everywhere from a store that is
-rate-limited.
-
-Rationale: a request may enter and leave an engine's range at any layer, so the
-maximum flow through a model equals the rate of its least covered layer (the
-sum of the rates of the engines that hold it). Each free engine in turn,
-largest first, gets the range that raises the least covered layers most. The
-entire sorted coverage is compared, so a layer without any engine has priority.
-An engine with a useful range keeps it: only free engines are placed, and one
-engine at a time is moved, if that raises the least covered layer by a fifth
-and leaves no layer without an engine. The bytes being loaded at once are
-bounded, so that a change doesn't queue hundreds of loads at the store. All of
-them, including the first complete chain, would otherwise finish as late as the
-last one.
+A fleet consists of mismatched accelerators, none large enough for a model, and
+it changes: engines join without warning and are lost, and operators change
+models and versions. Cutting a model into equal parts leaves large accelerators
+half empty and limits throughput to the slowest one. Replanning everything at
+each change reloads weights everywhere from a store that is rate-limited.
+
+A request may enter and leave an engine's range at any layer, so the maximum
+flow through a model equals the rate of its least covered layer (the sum of the
+rates of the engines that hold it). Each free engine in turn, largest first,
+gets the range that raises the least covered layers most. The entire sorted
+coverage is compared, so a layer without any engine has priority. An engine with
+a useful range keeps it: only free engines are placed, and one engine at a time
+is moved, if that raises the least covered layer by a fifth and leaves no layer
+without an engine. The bytes being loaded at once are bounded, so that a change
+doesn't queue hundreds of loads at the store. All of them, including the first
+complete chain, would otherwise finish as late as the last one.
 
 Two models share the engines by demand: the next free engine goes to the model
 with the least coverage relative to its demand. Models whose services depend on
--- a/src/almondshift/policy/plain_choice.py
+++ b/src/almondshift/policy/plain_choice.py
@@ -1,13 +1,14 @@
 """Selection of an endpoint of a plain service.
 
-Load pattern: a few small servers behind several nodes, one of them slower or
-busier than the others. Round robin queues requests behind the busy one.
-
-Rationale: the least loaded of a few random endpoints is chosen, as for engines
-(see ``pools``). A plain service doesn't report its capacity, so the limit on
-requests in flight is 64, which any small server can handle, divided between
-the nodes by ``shares``. Requests beyond it wait in the node's fair queue,
-where they can be refused.
+A plain service runs on a few small servers behind several nodes, and one of
+them may be slower or busier than the others. Round robin queues requests behind
+the busy one.
+
+The least loaded of a few random endpoints is chosen, as for engines (see
+``pools``). A plain service doesn't report its capacity, so the limit on
+requests in flight is 64, which any small server can handle, divided between the
+nodes by ``shares``. Requests beyond it wait in the node's fair queue, where
+they can be refused.
 """
 
 from __future__ import annotations
--- a/src/almondshift/policy/pooled_load.py
+++ b/src/almondshift/policy/pooled_load.py
@@ -1,10 +1,10 @@
 """Estimate of all nodes' load on an engine from this node's own requests.
 
-Load pattern: with many nodes each has only a few requests. If a node assumes
-that the others have the same requests on each engine as itself, then with 76
-nodes one own request on an engine of 192 slots counts as 76, and three make the
-engine look full. The node would refuse requests, or avoid whole chains, while
-most memory is free.
+With many nodes each has only a few requests. If a node assumes that the others
+have the same requests on each engine as itself, then with 76 nodes one own
+request on an engine of 192 slots counts as 76, and three make the engine look
+full. The node would refuse requests, or avoid whole chains, while most memory
+is free.
 
 So own requests are pooled over all engines before they are extrapolated:
 callers choose nodes at random, so that a node's total is a fair sample, and
--- a/src/almondshift/policy/pools.py
+++ b/src/almondshift/policy/pools.py
@@ -1,13 +1,13 @@
 """Sets of endpoints with spare capacity, for random sampling.
 
-Load pattern: a choice among hundreds of endpoints for each request. Examining
-all of them costs more than the request, and choosing the best of all makes
-every node with the same outdated report choose the same one.
-
-Rationale: power of two choices. The better of two random endpoints has an
-exponentially lower maximum load than a single random one (Mitzenmacher, 2001);
-three give mixed accelerators a better chance of a fast one. Adding, removing
-and sampling take constant time.
+Each request needs a choice among hundreds of endpoints. Examining all of them
+costs more than the request, and choosing the best of all makes every node with
+the same outdated report choose the same one.
+
+The method is the power of two choices. The better of two random endpoints has
+an exponentially lower maximum load than a single random one (Mitzenmacher,
+2001); three give mixed accelerators a better chance of a fast one. Adding,
+removing and sampling take constant time.
 """
 
 from __future__ import annotations
--- a/src/almondshift/policy/probe_timing.py
+++ b/src/almondshift/policy/probe_timing.py
@@ -1,9 +1,9 @@
 """When the engines of a silent stream are probed.
 
-Load pattern: engines stop responding while high load keeps others busy. Streams
-over busy engines pause too, and each of hundreds of nodes sees only a few
-streams. With late probes, callers of the dead engines are late; with a probe at
-each pause, busy engines do little else than answer probes.
+Engines stop responding while high load keeps others busy. Streams over busy
+engines pause too, and each of hundreds of nodes sees only a few streams. With
+late probes, callers of the dead engines are late; with a probe at each pause,
+busy engines do little else than answer probes.
 
 A stream counts as silent after a multiple of its usual interval between events,
 which is longer on slow accelerators. Each engine has its own exponential
--- a/src/almondshift/policy/recovery.py
+++ b/src/almondshift/policy/recovery.py
@@ -1,15 +1,15 @@
 """Replacement of failed stages of running requests.
 
-Load pattern: stages fail in the middle of requests, one at a time or an entire
-availability zone at once. If a request were restarted, its caller would wait
-twice and the lost work would add to the load. If it were abandoned, a change
-of hardware would cost the caller its answer.
-
-Rationale: a failed stage is replaced at once if another engine holds its
-layers, even one without spare capacity, because the request has already cost
-its work. If there is none, the request waits for one for at most five seconds
-or half of its remaining time, whichever is less, and is then refused. An
-engine that takes over a range loads it within seconds.
+Stages fail in the middle of requests, one at a time or an entire availability
+zone at once. If a request were restarted, its caller would wait twice and the
+lost work would add to the load. If it were abandoned, a change of hardware
+would cost the caller its answer.
+
+A failed stage is replaced at once if another engine holds its layers, even one
+without spare capacity, because the request has already cost its work. If there
+is none, the request waits for one for at most five seconds or half of its
+remaining time, whichever is less, and is then refused. An engine that takes
+over a range loads it within seconds.
 
 The same request doesn't use a failed endpoint again, unless there is no other
 and the endpoint has reported since. Without this exception, a pause of all
--- a/src/almondshift/policy/repeat_budget.py
+++ b/src/almondshift/policy/repeat_budget.py
@@ -1,8 +1,8 @@
 """Retry budget: limits repeats of requests over all nodes and a sliding window.
 
-Load pattern: an overload or a fault in which many requests fail at once. If
-each is sent again, the repeats take the capacity for new requests, and the
-service stays overloaded after the fault has ended.
+In an overload or a fault, many requests may fail at once. If each is sent
+again, the repeats take the capacity for new requests, and the service stays
+overloaded after the fault has ended.
 
 Operators limit the repeats of a service in each window to a share of its
 requests plus a fixed allowance. Nodes don't coordinate: each limits itself to
--- a/src/almondshift/policy/retry_after.py
+++ b/src/almondshift/policy/retry_after.py
@@ -1,14 +1,14 @@
 """Retry-After times for refused callers.
 
-Load pattern: an overload that ends. If all refused callers retry after the
-same fixed time, they arrive as one burst and are refused again. If they retry
-too soon, they prolong the overload.
-
-Rationale: serving the waiting and recently refused work takes ``cost / drain
-rate``, so the retries must be spread over that time. A random factor between a
-half and one and a half spreads them evenly. The minimum covers a drain rate
-that is not known yet. The maximum keeps callers from waiting long after the
-end of an overload: all retry within ten seconds.
+If all callers that were refused during an overload retry after the same fixed
+time, they arrive as one burst and are refused again. If they retry too soon,
+they prolong the overload.
+
+Serving the waiting and recently refused work takes ``cost / drain rate``, so
+the retries must be spread over that time. A random factor between a half and
+one and a half spreads them evenly. The minimum covers a drain rate that is not
+known yet. The maximum keeps callers from waiting long after the end of an
+overload: all retry within ten seconds.
 """
 
 from __future__ import annotations
--- a/src/almondshift/policy/retry_budget.py
+++ b/src/almondshift/policy/retry_budget.py
@@ -1,15 +1,15 @@
 """Retry budget: limits retried work to a share of new work.
 
-Load pattern: an overload or a fault makes stages fail. If every failed stage
-is replayed without a limit, retries grow with the failures and take the
-capacity that they need themselves: the fault ends, but the overload stays.
-
-Rationale: the first retry of each request is free, because losing an endpoint
-or an entire availability zone must not cost a caller its work, and it at most
-doubles the work of the requests that were in flight. Further retries use a
-budget of a tenth of the new cost, which keeps the load below 1.1 times the
-requested load. The minimum credit lets a quiet node retry. The credit decays
-over a minute, so that quiet hours don't accumulate credit for a retry storm.
+An overload or a fault makes stages fail. If every failed stage is replayed
+without a limit, retries grow with the failures and take the capacity that they
+need themselves: the fault ends, but the overload stays.
+
+The first retry of each request is free, because losing an endpoint or an entire
+availability zone must not cost a caller its work, and it at most doubles the
+work of the requests that were in flight. Further retries use a budget of a
+tenth of the new cost, which keeps the load below 1.1 times the requested load.
+The minimum credit lets a quiet node retry. The credit decays over a minute, so
+that quiet hours don't accumulate credit for a retry storm.
 """
 
 from __future__ import annotations
--- a/src/almondshift/policy/shares.py
+++ b/src/almondshift/policy/shares.py
@@ -1,16 +1,16 @@
 """A node's share of a limit that applies across all nodes.
 
-Load pattern: several nodes share one limit (an engine's sessions, an account's
-tokens per second), and each sees the usage of the others with a delay. If each
-took all apparently free capacity, a burst would overshoot by the number of
-nodes. If each were confined to an equal share, a node that gets all of the
-traffic would leave most of the limit unused.
-
-Rationale: apparently free capacity is divided by the number of nodes that use
-the limit, so that one round of reports can't overshoot. Above the limit, each
-node shrinks in proportion, so that the sum is back at the limit after one
-round of reports. An equal share is always granted, so that earlier nodes can't
-shut out a new one.
+Several nodes share one limit (an engine's sessions, an account's tokens per
+second), and each sees the usage of the others with a delay. If each took all
+apparently free capacity, a burst would overshoot by the number of nodes. If
+each were confined to an equal share, a node that gets all of the traffic would
+leave most of the limit unused.
+
+Apparently free capacity is divided by the number of nodes that use the limit,
+so that one round of reports can't overshoot. Above the limit, each node shrinks
+in proportion, so that the sum is back at the limit after one round of reports.
+An equal share is always granted, so that earlier nodes can't shut out a new
+one.
 
 While a limit is nearly used up, shares move a quarter of the way towards equal
 ones with each report. Otherwise the random shares at the start of an overload,
--- a/src/almondshift/policy/spreading.py
+++ b/src/almondshift/policy/spreading.py
@@ -1,16 +1,16 @@
 """Prefix-cache hints, and spreading of a hot prefix over engines.
 
-Load patterns: many requests with a common prompt prefix, and one prefix that
-is requested more often than a single engine can serve. Without hints each
-engine recomputes every prompt. If hints were always followed, requests for a
-hot prefix would queue at the one engine that has it while others are idle.
-
-Rationale: engines publish their cache events late and with gaps, so the
-assumed content of an engine's cache is discarded at a gap: a wrong hint costs
-a full prompt on an engine that was chosen over a less busy one. A hint is
-followed only while the node's requests in flight for the prefix use less than
-half of the sessions that it may use on that engine. Beyond that, requests are
-routed by load, and the next engine then holds the prefix too.
+Many requests have a common prompt prefix, and one prefix may be requested more
+often than a single engine can serve. Without hints each engine recomputes every
+prompt. If hints were always followed, requests for a hot prefix would queue at
+the one engine that has it while others are idle.
+
+Engines publish their cache events late and with gaps, so the assumed content of
+an engine's cache is discarded at a gap: a wrong hint costs a full prompt on an
+engine that was chosen over a less busy one. A hint is followed only while the
+node's requests in flight for the prefix use less than half of the sessions that
+it may use on that engine. Beyond that, requests are routed by load, and the
+next engine then holds the prefix too.
 
 Memory is bounded to 512 prefixes per engine, dropping the oldest first. That
 is 420,000 for 820 engines (about 60 MB at worst, and in practice the content
--- a/src/almondshift/policy/step_timeouts.py
+++ b/src/almondshift/policy/step_timeouts.py
@@ -1,13 +1,13 @@
 """Adaptive timeouts of calls to endpoints.
 
-Load pattern: an endpoint freezes (its process is stopped, or packets are lost)
-while others answer in milliseconds. With one fixed timeout, either every
-freeze costs seconds of waiting, or a slow accelerator is taken for a dead one
-and its work is replayed elsewhere, which adds load when it is highest.
-
-Rationale: the timeout follows the retransmission timer of TCP (RFC 6298): the
-smoothed time plus four deviations. Its minimum covers scheduling pauses on a
-busy host, and its maximum keeps recovery within a second where it can.
+An endpoint freezes (its process is stopped, or packets are lost) while others
+answer in milliseconds. With one fixed timeout, either every freeze costs
+seconds of waiting, or a slow accelerator is taken for a dead one and its work
+is replayed elsewhere, which adds load when it is highest.
+
+The timeout follows the retransmission timer of TCP (RFC 6298): the smoothed
+time plus four deviations. Its minimum covers scheduling pauses on a busy host,
+and its maximum keeps recovery within a second where it can.
 """
 
 from __future__ import annotations
--- a/src/almondshift/policy/topology.py
+++ b/src/almondshift/policy/topology.py
@@ -1,13 +1,13 @@
 """Known endpoints, and an index of the layers that they serve.
 
-Load pattern: a fleet that changes while requests arrive: engines join, load
-other layers or versions, leave and fail. Without a single source for what each
-endpoint reported itself, a request could be sent to an engine that the
-platform's list still shows but that is leaving, or to a version that was
-ordered but not loaded.
-
-Rationale: only an endpoint's own report counts, because some endpoints ignore
-fencing numbers and the list of VMs lags behind.
+The fleet changes while requests arrive: engines join, load other layers or
+versions, leave and fail. Without a single source for what each endpoint
+reported itself, a request could be sent to an engine that the platform's list
+still shows but that is leaving, or to a version that was ordered but not
+loaded.
+
+Only an endpoint's own report counts, because some endpoints ignore fencing
+numbers and the list of VMs lags behind.
 
 The index is only updated by reports that change a holding, so an unchanged
 report costs the same with 8 or 820 engines.
--- a/src/almondshift/policy/zone_paths.py
+++ b/src/almondshift/policy/zone_paths.py
@@ -1,8 +1,8 @@
 """The paths that begin in each zone, from which a request's path is chosen.
 
-Load pattern: engines of a zone fill up, die or become slow while other engines
-of the zone, or of other zones, hold the same layers. With one path per zone
-those would stay idle; all paths would be too many to compare for each request.
+Engines of a zone fill up, die or become slow while other engines of the zone,
+or of other zones, hold the same layers. With one path per zone those would stay
+idle; all paths would be too many to compare for each request.
 
 So a zone has its best path and further ones that share no engine with it or
 with each other. The best path uses slow engines where there is no other, and
