--- a/src/almondshift/policy/chain_choice.py
+++ b/src/almondshift/policy/chain_choice.py
@@ -15,6 +15,9 @@
 scarce range is left to the requests that need it. The node carries activations
 itself, so each stage costs two passes over the link between the availability
 zones of the node and the engine.
+
+Used by ``router``, for nodes that call each engine of a chain themselves. For
+the relay, see ``path_choice``.
 """
 
 from __future__ import annotations
@@ -39,11 +42,17 @@
     from almondshift.model import endpoints
 
 LOCAL_LINK_S = 0.0002
+"""Latency of the link to an engine in the node's own availability zone."""
 UNKNOWN_LINK_S = 0.0005
+"""Latency assumed for a link between zones that is not configured."""
 CONGESTION_FACTOR = 2.0
+"""Relative increase of an engine's step time from idle to its limit; it grows
+with the square of the utilisation."""
 COST_JITTER = 0.1
-"""Costs within a tenth of each other are equal; the choice is random."""
-CYCLE_SMOOTHING = 0.1
+"""Maximum relative random increase of an engine's cost, so that nodes with the
+same report choose different engines."""
+TOKEN_TIME_SMOOTHING = 0.1
+"""Weight of a new value in the moving average of the time of a token."""
 SATURATED_COST_FACTOR = 4.0
 """Cost factor of an engine that is used although it has no capacity left."""
 
@@ -55,11 +64,13 @@
     Attributes:
         prompt_tokens: Tokens to process before the first generated one.
         tokens: Number of tokens expected to be generated.
+        is_long: Whether it counts as a long request; see ``long_jobs``.
+        prefixes: Prefixes of the prompt that an engine may have cached.
     """
 
     prompt_tokens: int
     tokens: float
-    long: bool
+    is_long: bool
     prefixes: tuple[int, ...] = ()
 
 
@@ -76,8 +87,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Hop:
-    """Boundaries that a range reaches from one boundary."""
+class _RangeExits:
+    """A range, and the boundaries at which a chain may leave it."""
 
     span: layers.LayerRange
     ends: tuple[int, ...]
@@ -143,15 +154,15 @@
         ] = {}
         self._graphs: dict[
             tuple[topologies.Target, layers.LayerRange],
-            dict[int, tuple[_Hop, ...]],
+            dict[int, tuple[_RangeExits, ...]],
         ] = {}
         self._graphs_generation = -1
-        self._cycles: dict[str, float] = {}
+        self._token_times: dict[str, float] = {}
         self._objectives: dict[str, float] = {}
 
-    def cycle_s(self, model: str) -> float:
+    def token_time_s(self, model: str) -> float:
         """Returns the time of one token through a chain of this model."""
-        return self._cycles.get(model, 0.0)
+        return self._token_times.get(model, 0.0)
 
     def sync(self) -> None:
         """Applies pending topology changes."""
@@ -183,13 +194,14 @@
         engine.load.apply_report(
             report, at - report.age_s, self.active_peers, self.known_peers
         )
-        # A fractional slot becomes one slot with that probability, drawn
-        # once per report. With deterministic rounding, many nodes would all
-        # round down to none or all up to one.
+        # The fraction of a slot is rounded up with a probability equal to it,
+        # drawn once per report. With deterministic rounding, many nodes would
+        # all round down to none or all up to one.
         engine.load.allowed = float(
             int(engine.load.allowed + self.rng.random())
         )
         self.refresh(report.endpoint)
+        # An available engine may have more slots than before the report.
         self.capacity_generation += engine.available
 
     def choose(
@@ -222,7 +234,7 @@
             needed.end: (0.0, None)
         }
         for position in sorted(graph, reverse=True):
-            self._relax(best, position, graph[position], sampled)
+            self._update_best_stage(best, position, graph[position], sampled)
         return self._shortest_path(best, needed, target)
 
     def started(
@@ -234,7 +246,7 @@
             if engine is None:
                 continue
             engine.load.adjust_own(at, 1)
-            engine.load.own_long += job.long
+            engine.load.own_long += job.is_long
             engine.load.pending_prompt_tokens += job.prompt_tokens
             self.hints.started(job.prefixes, stage.endpoint)
             self.refresh(stage.endpoint)
@@ -261,9 +273,12 @@
             if engine is None or engine.load.own == 0:
                 continue
             engine.load.adjust_own(at, -1)
-            engine.load.own_long = max(0, engine.load.own_long - job.long)
+            engine.load.own_long = max(0, engine.load.own_long - job.is_long)
             self.refresh(stage.endpoint)
-            self.capacity_generation += job.long
+            # refresh() counts an engine that becomes available. A long request
+            # also frees a slot for another long one on an engine that had
+            # slots left for short ones only.
+            self.capacity_generation += job.is_long
 
     def mark_full(self, name: str) -> None:
         """Stops sending work to an engine that refused it until it reports."""
@@ -382,7 +397,7 @@
         return concurrency.limit_for(
             engine.description,
             span.count,
-            self.cycle_s(target.model),
+            self.token_time_s(target.model),
             self._objective_s(target.model),
         )
 
@@ -401,7 +416,7 @@
 
     def _graph(
         self, target: topologies.Target, needed: layers.LayerRange
-    ) -> dict[int, tuple[_Hop, ...]]:
+    ) -> dict[int, tuple[_RangeExits, ...]]:
         if self._graphs_generation != self.topology.generation:
             self._graphs.clear()
             self._graphs_generation = self.topology.generation
@@ -439,7 +454,7 @@
     ) -> bool:
         if name in avoid:
             return False
-        if not job.long:
+        if not job.is_long:
             return True
         load = self.engines[name].load
         return load.own_long < self.long_jobs.slots(at, load.allowed)
@@ -500,18 +515,19 @@
             factor * work * described.per_layer_token_s,
         )
 
-    def _relax(
+    def _update_best_stage(
         self,
         best: dict[int, tuple[float, chains.Stage | None]],
         position: int,
-        hops: tuple[_Hop, ...],
+        options: tuple[_RangeExits, ...],
         sampled: dict[layers.LayerRange, _Cost],
     ) -> None:
-        for hop in hops:
-            cost = sampled.get(hop.span)
+        """Updates the cheapest rest of the chain from ``position``."""
+        for option in options:
+            cost = sampled.get(option.span)
             if cost is None:
                 continue
-            for end in hop.ends:
+            for end in option.ends:
                 if end not in best:
                     continue
                 seconds = cost.seconds(end - position) + best[end][0]
@@ -525,6 +541,10 @@
         needed: layers.LayerRange,
         target: topologies.Target,
     ) -> Choice | None:
+        """Returns the chain of the best stages, or None if there is none.
+
+        If it covers the entire model, also updates the model's token time.
+        """
         if needed.start not in best:
             return None
         stages: list[chains.Stage] = []
@@ -536,40 +556,44 @@
             stages.append(stage)
             position = stage.layers.end
         if needed.count == self.topology.layer_count(target.model):
-            self._update_cycle(target.model, stages)
+            self._update_token_time(target.model, stages)
         return Choice(tuple(stages), best[needed.start][0])
 
-    def _update_cycle(self, model: str, stages: list[chains.Stage]) -> None:
-        """Updates the smoothed token cycle time of chains with full batches."""
-        cycle = 0.0
+    def _update_token_time(
+        self, model: str, stages: list[chains.Stage]
+    ) -> None:
+        """Updates the smoothed token time of chains with full batches."""
+        token_time = 0.0
         for stage in stages:
             engine = self.engines[stage.endpoint]
             described = engine.description
             layer_s = described.per_layer_token_s * stage.layers.count
-            cycle += described.fixed_s + layer_s * described.max_batch
-            cycle += 2.0 * engine.link_s
-        before = self._cycles.get(model, cycle)
-        self._cycles[model] = before + CYCLE_SMOOTHING * (cycle - before)
+            token_time += described.fixed_s + layer_s * described.max_batch
+            token_time += 2.0 * engine.link_s
+        before = self._token_times.get(model, token_time)
+        self._token_times[model] = before + TOKEN_TIME_SMOOTHING * (
+            token_time - before
+        )
 
 
 def build_graph(
     spans: list[layers.LayerRange], needed: layers.LayerRange
-) -> dict[int, tuple[_Hop, ...]]:
+) -> dict[int, tuple[_RangeExits, ...]]:
     """Returns the usable ranges at each layer boundary.
 
-    A chain leaves a range at its end or where another range begins. Other
-    boundaries are not considered: they would only shift the same handover.
+    A chain leaves a range at its end or where another range begins. Leaving it
+    elsewhere would only move the boundary between the same two engines.
     """
     starts = {s.start for s in spans if needed.start < s.start < needed.end}
     ends = {s.end for s in spans if needed.start < s.end < needed.end}
     graph = {}
     for position in {needed.start} | starts | ends:
-        hops = [
-            _Hop(span, _ends(span, position, starts, needed.end))
+        options = [
+            _RangeExits(span, _ends(span, position, starts, needed.end))
             for span in spans
             if span.start <= position < span.end
         ]
-        graph[position] = tuple(hops)
+        graph[position] = tuple(options)
     return graph
 
 
--- a/src/almondshift/policy/concurrency.py
+++ b/src/almondshift/policy/concurrency.py
@@ -8,9 +8,9 @@
 report.
 
 By Little's law an engine with full batches of ``max_batch`` needs ``rate *
-cycle`` concurrent requests, where the cycle is the time of one token through
-the entire chain. With fewer, its batches are not full and throughput is lost;
-with more, requests queue. An extra fifth covers the variation of batches.
+token_time`` concurrent requests, where the token time is that of one token
+through the entire chain. With fewer, its batches are not full and throughput is
+lost; with more, requests queue. An extra fifth covers the variation of batches.
 
 If the chain is faster than the objective for the time between tokens, requests
 are admitted up to six tenths of the objective: batching then raises throughput,
@@ -120,7 +120,7 @@
 def limit_for(
     description: endpoints.EndpointDescription,
     layer_count: int,
-    cycle_s: float,
+    token_time_s: float,
     objective_s: float,
 ) -> float:
     """Returns the maximum number of requests on an engine.
@@ -128,11 +128,11 @@
     Args:
         description: The engine's own description.
         layer_count: Number of layers that each request runs on it.
-        cycle_s: Time of one token through a chain with full batches.
+        token_time_s: Time of one token through a chain with full batches.
         objective_s: Objective for the time between tokens.
     """
     rate = engine_rates.tokens_per_s(description, layer_count)
-    round_s = max(cycle_s * BATCH_VARIATION, objective_s * OBJECTIVE_SHARE)
+    round_s = max(token_time_s * BATCH_VARIATION, objective_s * OBJECTIVE_SHARE)
     needed = max(description.max_batch, rate * round_s)
     memory = max(1.0, description.max_sessions * MAX_SESSION_SHARE)
     return float(min(math.ceil(needed), memory))
--- a/src/almondshift/policy/ejection.py
+++ b/src/almondshift/policy/ejection.py
@@ -7,26 +7,28 @@
 
 An engine is compared with the median of the engines with the same kind of
 accelerator and the same layers (for plain endpoints, of the same service),
-because mismatched accelerators differ by more than a slow one differs from its
-group. The compared value is the minimum call time in a window of at least half
-a second and five calls, divided by the time expected from the engine's
-description at its present load. The mean time of a call is mostly queueing
+because kinds of accelerator differ by more than a slow engine does from its own
+kind. The compared value is the minimum call time in a window of at least half a
+second and five calls, divided by the time expected from the engine's
+description at its current load. The mean time of a call is mostly queueing
 behind other work, which differs tenfold between healthy engines (comparing
-smoothed times ejected healthy engines about fifteen times a second in the bench
-at 1x), while the minimum of a slow engine is as slow as the engine. Three times
-the median is more than a wrongly estimated batch causes, and an engine that is
-ten times slower still answers five calls of a node in about a second. No
-endpoint is judged before half of its group is measured.
-
-At most a fifth of a group, or one endpoint if that is more, may be ejected: if
-more are slow, the load is the cause and ejection makes it worse. The only
-endpoint of a group has nothing to be compared with and stays in service.
+smoothed times ejected healthy engines about fifteen times a second in a
+benchmark at the specified load, 1x), while the minimum of a slow engine is as
+slow as the engine. The threshold is three times the median: a wrong estimate of
+the batch size changes the ratio by less, and an engine that is ten times slower
+still answers five calls of a node in about a second. No endpoint is ejected as
+slow before half of its group is measured.
+
+At most a fifth of a group, or one endpoint if that is more, may be ejected or
+on trial: if more are slow, the load is the cause and ejection makes it worse.
+The only endpoint of a group has nothing to be compared with and stays in
+service.
 
 An ejected endpoint is probed after one second, then with exponential backoff
 up to thirty seconds. Once a probe is as fast as the group, the endpoint gets
 two concurrent requests for a trial window, and its full share if the trial
 succeeds. An endpoint that can't be reached, or fails twice without an answer
-in between, is ejected regardless of the cap.
+in between, is ejected regardless of that limit.
 """
 
 from __future__ import annotations
@@ -42,16 +44,22 @@
     from collections.abc import Hashable
 
 SLOW_RATIO = 3.0
+"""Ratio to the median of the group above which an endpoint is slow."""
 MIN_WINDOW_CALLS = 5
 MAX_TRIAL_REQUESTS = 2
 EJECT_AFTER_FAILURES = 2
 MAX_EJECTED_SHARE = 0.2
 SMOOTHING = 0.3
+"""Weight of a new ratio in the moving average of an endpoint."""
 MIN_PROBE_DELAY_S = 1.0
 MAX_PROBE_DELAY_S = 30.0
 PROBE_TIMEOUT_S = 5.0
+"""Time for the answer to a probe, in seconds. An unanswered probe is repeated
+after this and the probe delay."""
 MEDIAN_REFRESH_S = 0.1
+"""Minimum interval between updates of the medians of a group, in seconds."""
 WINDOW_S = 0.5
+"""Minimum length of the window for the minimum call time, in seconds."""
 
 
 class State(enum.Enum):
@@ -132,26 +140,30 @@
         self.refreshed_at = at
 
     def may_eject(self) -> bool:
-        ejected = sum(
+        """Returns whether one more endpoint may be ejected as slow.
+
+        Endpoints on trial count as ejected.
+        """
+        not_active = sum(
             h.state is not State.ACTIVE for h in self.members.values()
         )
         max_ejected = max(1, int(len(self.members) * MAX_EJECTED_SHARE))
-        return ejected < max_ejected and ejected + 1 < len(self.members)
+        return not_active < max_ejected and not_active + 1 < len(self.members)
 
 
 class Ejection:
-    """Tracks the health of endpoints."""
+    """Tracks the health of endpoints, and ejects slow and failing ones."""
 
     def __init__(self) -> None:
-        self._healths: dict[str, _Health] = {}
+        self._health_by_name: dict[str, _Health] = {}
         self._groups: dict[Hashable, _Group] = {}
         self._probe_queue: list[tuple[float, str]] = []
 
     def set_group(self, name: str, group: Hashable) -> None:
         """Sets the group of endpoints that an endpoint is compared with."""
-        health = self._healths.get(name)
+        health = self._health_by_name.get(name)
         if health is None:
-            health = self._healths[name] = _Health(group)
+            health = self._health_by_name[name] = _Health(group)
         elif health.group == group:
             return
         else:
@@ -162,7 +174,7 @@
 
     def forget(self, name: str) -> None:
         """Removes an endpoint that is gone."""
-        health = self._healths.pop(name, None)
+        health = self._health_by_name.pop(name, None)
         if health is None:
             return
         group = self._groups[health.group]
@@ -172,12 +184,12 @@
 
     def state(self, name: str) -> State:
         """Returns whether an endpoint receives work."""
-        health = self._healths.get(name)
+        health = self._health_by_name.get(name)
         return health.state if health else State.ACTIVE
 
     def slowness(self, name: str) -> float:
         """Returns its slowness relative to its group; 1.0 if unknown."""
-        health = self._healths.get(name)
+        health = self._health_by_name.get(name)
         if health is None or not health.calls:
             return 1.0
         median = self._groups[health.group].median
@@ -191,7 +203,7 @@
         Returns:
             Whether the endpoint's state changed.
         """
-        health = self._healths.get(name)
+        health = self._health_by_name.get(name)
         if health is None:
             return False
         health.record(at, seconds / max(expected_s, 1e-9))
@@ -209,9 +221,9 @@
     ) -> bool:
         """Records a failed call.
 
-        The cap doesn't apply here: when an availability zone is lost, a third
-        of a group is gone at once, and endpoints that don't answer are of no
-        use to callers.
+        The limit on ejected endpoints doesn't apply here: when an availability
+        zone is lost, a third of a group is gone at once, and endpoints that
+        don't answer are of no use to callers.
 
         Args:
             name: Name of the endpoint.
@@ -221,7 +233,7 @@
         Returns:
             Whether the endpoint's state changed.
         """
-        health = self._healths.get(name)
+        health = self._health_by_name.get(name)
         if health is None or health.state is State.EJECTED:
             return False
         health.failures += 1
@@ -238,7 +250,7 @@
         due = []
         while self._probe_queue and self._probe_queue[0][0] <= at:
             _, name = heapq.heappop(self._probe_queue)
-            health = self._healths.get(name)
+            health = self._health_by_name.get(name)
             if health is not None and health.state is State.EJECTED:
                 due.append(name)
                 # Without a repeat, a probe that is never answered would keep
@@ -252,7 +264,7 @@
         self, name: str, at: float, ok: bool, ratio: float
     ) -> bool:
         """Records a probe's result; returns whether the state changed."""
-        health = self._healths.get(name)
+        health = self._health_by_name.get(name)
         if health is None or health.state is not State.EJECTED:
             return False
         median = self._groups[health.group].median
--- a/src/almondshift/policy/engine_starts.py
+++ b/src/almondshift/policy/engine_starts.py
@@ -1,4 +1,4 @@
-"""Which start of an engine is accepted, of those that its registry rows name.
+"""Decides which process start of an engine is current when rows disagree.
 
 Engines restart under their former name, and a write of the former start may
 reach the store after the first write of the new one. So a later start takes
@@ -21,12 +21,12 @@
 """Maximum number of engines whose starts are kept, including engines that are
 gone; five times the engines of the largest fleet."""
 
-CHALLENGE_S = 4.0
-"""Time for which another start must be written, with no write of the accepted
-one, before it replaces that one, in seconds. The registry drops an engine that
-wrote nothing for some four seconds."""
+REPLACE_AFTER_S = 4.0
+"""Seconds for which only the other start must be written before it replaces the
+accepted one. The registry drops an engine that wrote nothing for some four
+seconds."""
 
-CHALLENGE_ROWS = 4
+REPLACE_AFTER_ROWS = 4
 """Number of rows with different revisions in which the other start must appear.
 One or two writes of a process that has ended may still arrive, seconds late."""
 
@@ -34,8 +34,10 @@
 class StartVerdict(enum.Enum):
     """What happens to a row.
 
-    STANDS: it has the accepted start. LATE: it is dropped. OVERTURNS: its start
-    replaces the accepted one.
+    STANDS: it is used; its start is the accepted one, or is accepted with this
+    row as a later start or as the first of its engine. An engine's first row is
+    also used without a start. LATE: it is dropped. OVERTURNS: it is used, and
+    its start replaces the accepted one.
     """
 
     STANDS = "stands"
@@ -44,8 +46,8 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Challenge:
-    """A start that was not accepted, and the rows that name it.
+class _PendingStart:
+    """A start that may replace the accepted one, and the rows that name it.
 
     Attributes:
         born_ms: The start.
@@ -67,47 +69,47 @@
 
     Attributes:
         accepted_start: The accepted one.
-        distrusted_from: Starts from this one on are not accepted at once, since
+        rejected_from: Starts from this one on are not accepted at once, since
             it was accepted before and was replaced by an earlier one. None if
             there is none.
-        challenge: The start that may replace the accepted one, if any.
+        pending: The start that may replace the accepted one, if any.
     """
 
     accepted_start: int
-    distrusted_from: int | None = None
-    challenge: _Challenge | None = None
+    rejected_from: int | None = None
+    pending: _PendingStart | None = None
 
-    def is_credible(self, born_ms: int) -> bool:
+    def is_accepted_at_once(self, born_ms: int) -> bool:
         """Returns whether a start is accepted at once."""
         if born_ms < self.accepted_start:
             return False
-        return self.distrusted_from is None or born_ms < self.distrusted_from
+        return self.rejected_from is None or born_ms < self.rejected_from
 
-    def overturn(self, born_ms: int) -> None:
+    def replace_with(self, born_ms: int) -> None:
         """Replaces the accepted start."""
-        self.distrusted_from = (
+        self.rejected_from = (
             self.accepted_start if born_ms < self.accepted_start else None
         )
         self.accepted_start = born_ms
-        self.challenge = None
+        self.pending = None
 
 
 class EngineStarts:
     """Keeps the starts of all engines.
 
     Attributes:
-        known: By engine; the least recently seen first.
+        by_engine: Starts by engine; the least recently seen first.
     """
 
     def __init__(self) -> None:
-        self.known: collections.OrderedDict[str, _Starts] = (
+        self.by_engine: collections.OrderedDict[str, _Starts] = (
             collections.OrderedDict()
         )
 
     def accepted_start(self, engine: str) -> int:
         """Returns the accepted start; 0 if none is known."""
-        known = self.known.get(engine)
-        return known.accepted_start if known is not None else 0
+        starts = self.by_engine.get(engine)
+        return starts.accepted_start if starts is not None else 0
 
     def judge(
         self, engine: str, born_ms: int, revision: int, now: float
@@ -120,40 +122,41 @@
             revision: Revision of the row; it increases over the whole store.
             now: Monotonic seconds.
         """
-        known = self.known.get(engine)
-        if known is None:
+        starts = self.by_engine.get(engine)
+        if starts is None:
             if born_ms:
                 self._remember(engine, _Starts(born_ms))
             return StartVerdict.STANDS
-        self._remember(engine, known)
-        if known.is_credible(born_ms):
-            known.accepted_start = born_ms
-            known.challenge = None
+        self._remember(engine, starts)
+        if starts.is_accepted_at_once(born_ms):
+            starts.accepted_start = born_ms
+            starts.pending = None
             return StartVerdict.STANDS
-        if self._is_proved(known, born_ms, revision, now):
-            known.overturn(born_ms)
+        if self._count_row(starts, born_ms, revision, now):
+            starts.replace_with(born_ms)
             return StartVerdict.OVERTURNS
         return StartVerdict.LATE
 
     def _remember(self, engine: str, starts: _Starts) -> None:
-        self.known[engine] = starts
-        self.known.move_to_end(engine)
-        while len(self.known) > MAX_TRACKED_ENGINES:
-            self.known.popitem(last=False)
+        self.by_engine[engine] = starts
+        self.by_engine.move_to_end(engine)
+        while len(self.by_engine) > MAX_TRACKED_ENGINES:
+            self.by_engine.popitem(last=False)
 
-    def _is_proved(
-        self, known: _Starts, born_ms: int, revision: int, now: float
+    def _count_row(
+        self, starts: _Starts, born_ms: int, revision: int, now: float
     ) -> bool:
-        challenge = known.challenge
-        if challenge is None or challenge.born_ms != born_ms:
-            known.challenge = _Challenge(born_ms, now, revision)
+        """Counts a row; returns whether its start replaces the accepted one."""
+        pending = starts.pending
+        if pending is None or pending.born_ms != born_ms:
+            starts.pending = _PendingStart(born_ms, now, revision)
             return False
-        if revision > challenge.revision:
-            challenge.revision = revision
-            challenge.rows += 1
+        if revision > pending.revision:
+            pending.revision = revision
+            pending.rows += 1
         return (
-            challenge.rows >= CHALLENGE_ROWS
-            and now - challenge.began_at >= CHALLENGE_S
+            pending.rows >= REPLACE_AFTER_ROWS
+            and now - pending.began_at >= REPLACE_AFTER_S
         )
 
 
--- a/src/almondshift/policy/lanes.py
+++ b/src/almondshift/policy/lanes.py
@@ -33,7 +33,8 @@
 
 SMOOTHING = 0.1
 LONG_RETRY_INTERVAL_S = 1.0
-"""Interval at which a long job is tried even without new capacity."""
+"""Interval at which a long job is tried even without new capacity, in seconds:
+the share of sessions for long jobs also grows while no short ones arrive."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -72,7 +73,8 @@
         chain: The chain in use, or None for a plain service.
         endpoint: The plain endpoint, or ``""`` for a chain.
         stages: Stages on which it counts as in flight.
-        rate: Its contribution to the implied drain rate of its lane.
+        rate: Its cost divided by its expected run time. Their sum over a lane
+            is the first estimate of the rate at which the lane serves work.
     """
 
     request: Request
@@ -91,6 +93,11 @@
     """A fair queue with its drain rate and time estimates.
 
     Attributes:
+        per_prompt_token_s: Mean time per prompt token in seconds. For a plain
+            service, mean run time per unit of cost.
+        per_token_s: Mean time per generated token after the first, in seconds.
+        generated_share: Mean share of the maximum tokens that requests
+            generate.
         blocked_generation: The chooser's ``capacity_generation`` when nothing
             could be dispatched; a new attempt is pointless until it grows.
     """
@@ -189,6 +196,7 @@
             self.generated_share += SMOOTHING * (share - self.generated_share)
 
     def _plain_ended(self, running: RunningRequest, at: float) -> None:
+        """Records the cost that a plain endpoint served, and its run time."""
         cost = max(1.0, running.request.cost)
         self.drain.record_served(at, cost)
         per_token = (at - running.started_at) / cost
--- a/src/almondshift/policy/layer_copies.py
+++ b/src/almondshift/policy/layer_copies.py
@@ -46,9 +46,9 @@
 delay streams all the time, while losses are rare."""
 
 MIN_MOVE_RATIO = 1.5
-"""A standby moves to layers worth more than this many times its present ones
-plus one layer without a holder. Loads are costly, and each move must reduce the
-risk."""
+"""A standby moves only if the value of the new layers is more than this ratio
+times that of its current ones plus the value of one layer without a holder.
+Loads are costly, and each move must reduce the risk."""
 
 ROUNDING_MARGIN = 1.0 - 1e-9
 """Allows for rounding: the sum over some layers may exceed that over all."""
@@ -62,22 +62,23 @@
 class LayerHolders:
     """Who holds each layer of a model; lists have an element for each layer.
 
-    From this, what remains without any one engine is derived. Computing that
-    from scratch for each engine, a plan for 822 engines blocked a node's only
-    thread for 2.1 s.
+    The holders without any one engine are derived from this. When they were
+    computed from scratch for each engine, a plan for 822 engines blocked a
+    node's only thread for 2.1 s.
 
     Attributes:
         fastest: Step factor of the fastest holder; infinite if there is none.
         second: Step factor of the second fastest, which may be equal.
         copies: Number of holders.
-        counts: Sum of the numbers of layers that the holders hold.
+        holder_layer_totals: Sum of the numbers of layers that the holders hold;
+            used only for layers with a single holder.
         slowest: The up to two greatest step factors of all engines.
     """
 
     fastest: list[float]
     second: list[float]
     copies: list[int]
-    counts: list[int]
+    holder_layer_totals: list[int]
     slowest: tuple[float, ...]
 
     def fastest_other(self, layer: int, step_factor: float) -> float:
@@ -98,15 +99,17 @@
     ) -> LayerHolders:
         """Returns the holders without an engine; ``second`` is left empty."""
         fastest, copies = list(self.fastest), list(self.copies)
-        counts = list(self.counts)
+        holder_layer_totals = list(self.holder_layer_totals)
         for layer in layer_holdings.valid_layers(present, len(fastest)):
             fastest[layer] = self.fastest_other(layer, engine.step_factor)
             copies[layer] -= 1
-            counts[layer] -= present.count
+            holder_layer_totals[layer] -= present.count
         others = list(self.slowest)
         if engine.step_factor in others:
             others.remove(engine.step_factor)
-        return LayerHolders(fastest, [], copies, counts, tuple(others))
+        return LayerHolders(
+            fastest, [], copies, holder_layer_totals, tuple(others)
+        )
 
 
 def layer_holders(
@@ -116,18 +119,20 @@
 ) -> LayerHolders:
     """Returns who holds each layer."""
     fastest, second = [math.inf] * layers, [math.inf] * layers
-    copies, counts = [0] * layers, [0] * layers
+    copies, holder_layer_totals = [0] * layers, [0] * layers
     for engine, present in layer_holdings.engines_with_layers(engines, held):
         factor = engine.step_factor
         for layer in layer_holdings.valid_layers(present, layers):
             copies[layer] += 1
-            counts[layer] += present.count
+            holder_layer_totals[layer] += present.count
             if factor < fastest[layer]:
                 fastest[layer], second[layer] = factor, fastest[layer]
             elif factor < second[layer]:
                 second[layer] = factor
     slowest = heapq.nlargest(2, (e.step_factor for e in engines))
-    return LayerHolders(fastest, second, copies, counts, tuple(slowest))
+    return LayerHolders(
+        fastest, second, copies, holder_layer_totals, tuple(slowest)
+    )
 
 
 def layer_factors(
@@ -175,7 +180,7 @@
     others: LayerHolders
 
 
-def improve(
+def find_better_layers(
     group: Sequence[layer_holdings.PlannedEngine],
     held: layer_holdings.Holdings,
     spec: engine_specs.EngineSpec,
@@ -185,16 +190,16 @@
     It gives up no layer that only it holds.
     """
     holders = layer_holders(group, held, spec.layers)
-    known = [
+    candidates = [
         _Standby(engine, present, holders.without(engine, present))
         for engine, present in _standby_layers(group, held, spec.layers)
     ]
-    change = _promote(known, sum(holders.fastest), spec)
-    return change or _relocate(known, spec)
+    change = _promote(candidates, sum(holders.fastest), spec)
+    return change or _relocate(candidates, spec)
 
 
 def _promote(
-    known: Sequence[_Standby], total: float, spec: engine_specs.EngineSpec
+    candidates: Sequence[_Standby], total: float, spec: engine_specs.EngineSpec
 ) -> tuple[str, model_layers.LayerRange] | None:
     """Returns a standby engine that should serve, and the layers to hold.
 
@@ -202,11 +207,11 @@
     a faster standby of other layers takes its place.
 
     Args:
-        known: The standbys.
+        candidates: The standbys.
         total: Sum over all layers of the fastest holder's step factor.
         spec: Parameters of the model.
     """
-    for standby in known:
+    for standby in candidates:
         engine, others = standby.engine, standby.others
         gains = _gains(others, engine)
         # Most standbys gain too little anywhere. The search for the best range,
@@ -222,22 +227,22 @@
 
 
 def _relocate(
-    known: Sequence[_Standby], spec: engine_specs.EngineSpec
+    candidates: Sequence[_Standby], spec: engine_specs.EngineSpec
 ) -> tuple[str, model_layers.LayerRange] | None:
     """Returns a standby engine that is worth more elsewhere, and its layers.
 
     Otherwise engines that filled a hole would keep only the few layers that it
     needed, and others would hold further copies of layers that are held twice.
     """
-    for standby in known:
+    for standby in candidates:
         present = standby.present
         values = _copy_values(standby.others)
         found = _best_copy_range(values, standby.engine, spec)
         if found is None:
             continue
-        worth = sum(values[present.start : present.end])
-        better = sum(values[found.start : found.end])
-        if better > worth * MIN_MOVE_RATIO + spec.layers:
+        present_value = sum(values[present.start : present.end])
+        new_value = sum(values[found.start : found.end])
+        if new_value > present_value * MIN_MOVE_RATIO + spec.layers:
             return standby.engine.instance, found
     return None
 
@@ -258,16 +263,16 @@
     group: Sequence[layer_holdings.PlannedEngine],
     held: layer_holdings.Holdings,
     layers: int,
-    most: int,
+    max_engines: int,
 ) -> list[layer_holdings.PlannedEngine]:
-    """Returns up to ``most`` standbys that can all give up layers at once.
+    """Returns standbys, at most ``max_engines``, to give up layers at once.
 
     Two engines with the same layers are standbys of each other. They are
     removed one by one, so that the second no longer counts as a standby.
     """
     left = dict(held)
     found: list[layer_holdings.PlannedEngine] = []
-    while len(found) < most:
+    while len(found) < max_engines:
         ready = standbys(group, left, layers)
         if not ready:
             break
@@ -276,9 +281,11 @@
     return found
 
 
-def best_range(values: Sequence[float], most: int) -> model_layers.LayerRange:
-    """Returns the range of up to ``most`` layers with the greatest sum."""
-    count = min(most, len(values))
+def best_range(
+    values: Sequence[float], max_layers: int
+) -> model_layers.LayerRange:
+    """Returns the range of up to ``max_layers`` with the greatest sum."""
+    count = min(max_layers, len(values))
     sums = [0.0, *itertools.accumulate(values)]
     range_sums = list(map(operator.sub, sums[count:], sums))
     start = range_sums.index(max(range_sums))
@@ -363,5 +370,7 @@
         else float(alone)
         if count == 1
         else FURTHER_COPY_VALUE / count
-        for count, alone in zip(holders.copies, holders.counts, strict=True)
+        for count, alone in zip(
+            holders.copies, holders.holder_layer_totals, strict=True
+        )
     ]
--- a/src/almondshift/policy/layer_plan.py
+++ b/src/almondshift/policy/layer_plan.py
@@ -14,6 +14,9 @@
 
 The plan is a function of what engines report, so that any node can continue
 what another one began.
+
+Used by the relay. For nodes that call each engine of a chain themselves, see
+``placement``.
 """
 
 from __future__ import annotations
@@ -43,10 +46,11 @@
 serve requests."""
 
 UNANSWERED_SHARE = 0.3
-"""Engines that did not answer an order are counted only for layers they surely
-hold, if they have at most this share of a zone's memory. If they have more, the
-others could not hold all layers, and the cause is more likely the network link
-of the node that sends the orders: healthy engines would load for nothing."""
+"""Engines that did not answer an order are counted only for layers that they
+certainly hold, if they have at most this share of a zone's memory. With a
+larger share, the cause is more likely the network link of the node that sends
+the orders. Besides, the others could not hold all layers, and healthy engines
+would load for nothing."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -70,7 +74,7 @@
     orders: list[LayerOrder] = []
     for members in _groups(engines, spec):
         fast = _without_slow(members)
-        group = _without_unanswered(fast)
+        group = _count_unanswered_conservatively(fast)
         if all(engine.held is None for engine in fast):
             orders += _plan_empty_group(group, spec)
         else:
@@ -90,15 +94,16 @@
     return [e for e in group if not e.is_slow]
 
 
-def _without_unanswered(
+def _count_unanswered_conservatively(
     group: list[layer_holdings.PlannedEngine],
 ) -> list[layer_holdings.PlannedEngine]:
-    """Counts an engine that did not answer only for layers it surely holds.
+    """Counts engines that did not answer only for layers they certainly hold.
 
-    It may or may not have carried out its order, and may do so seconds later.
-    If the order were assumed to be done, its layers could be held by no engine
-    until it answers, and other engines could give up the layers that it may
-    have given up.
+    Such an engine may or may not have carried out its order, and may do so
+    seconds later. If the order were assumed to be done, its layers could be
+    held by no engine until it answers, and other engines could give up the
+    layers that it may have given up. An engine without any certain layers is
+    left out.
     """
     memory = sum(e.memory_mb for e in group)
     unanswered = sum(e.memory_mb for e in group if e.is_unanswered)
@@ -117,7 +122,11 @@
     engines: Sequence[layer_holdings.PlannedEngine],
     spec: engine_specs.EngineSpec,
 ) -> list[list[layer_holdings.PlannedEngine]]:
-    """Returns the engines by zone; zones too small for the model are joined."""
+    """Returns the engines by zone.
+
+    Zones that are too small for the model are joined. If they are still too
+    small together, they are added to the first of the other zones.
+    """
     by_zone: dict[str, list[layer_holdings.PlannedEngine]] = {}
     for engine in sorted(engines, key=lambda e: e.instance):
         by_zone.setdefault(engine.zone, []).append(engine)
@@ -270,7 +279,7 @@
         ):
             orders.update(layer_spread.rebalance(group, held, spec, is_broken))
         elif not orders:
-            change = layer_copies.improve(group, held, spec)
+            change = layer_copies.find_better_layers(group, held, spec)
             if change is not None:
                 orders[change[0]] = change[1]
     return [LayerOrder(name, layers) for name, layers in orders.items()]
@@ -339,6 +348,8 @@
         [limit for _, limit in replacements],
         end - start,
     )
+    # The neighbour below the hole is the first of the replacements and the one
+    # above it the last, so their parts are adjacent to the layers they hold.
     position = start
     for (engine, _), count in zip(replacements, counts, strict=True):
         if count == 0:
@@ -399,12 +410,13 @@
     layers: model_layers.LayerRange,
     at_start: bool,
 ) -> int:
-    """Returns how many layers at one end of a range others surely hold."""
+    """Returns how many layers at one end of a range others certainly hold."""
     others = [
         held[other.instance]
         for other in group
         if other.instance != engine.instance and not other.is_busy
     ]
+    # At least one layer of the range is kept.
     order = range(layers.start, layers.end - 1)
     if not at_start:
         order = range(layers.end - 1, layers.start, -1)
--- a/src/almondshift/policy/path_candidates.py
+++ b/src/almondshift/policy/path_candidates.py
@@ -22,9 +22,9 @@
     from almondshift.model import registered_engines
     from almondshift.policy import engine_book
 
-LARGE_GROUP_JITTER = 0.5
-"""Maximum relative random increase of each engine's cost in large groups, where
-a node has too few requests of its own to tell busy engines from idle ones.
+MANY_NODES_JITTER = 0.5
+"""Maximum relative random increase of each engine's cost in groups of many
+nodes, where a node has too few own requests to tell busy from idle engines.
 Engines that are twice as slow still rank lower."""
 
 ESTIMATE_TOLERANCE = 2.0
@@ -35,7 +35,7 @@
 
 BATCH_WAIT_FACTOR = 2.0
 """Time that a request spends at an engine, as a multiple of its time in
-batches."""
+batches; the rest is spent waiting for them."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -95,19 +95,19 @@
         Args:
             view: The engines.
             now: Monotonic seconds.
-            kept: Engines that run the request already. They hold its memory
-                even when they are full; without them, a request that lost one
-                engine would have to leave the others too.
-            is_sampled: Whether large groups are sampled.
+            kept: Engines on the request's current path. They already hold its
+                memory, so they remain candidates even when full. Otherwise a
+                request that lost one engine would have to leave the others too.
+            is_sampled: Whether large groups of similar engines are sampled.
         """
         load = self.load(view, now)
-        known = self._live_engines(view)
-        engines = known.engines
+        live = self._live_engines(view)
+        engines = live.engines
         if is_sampled:
-            engines = engine_sample.sample_engines(known.groups, self.rng)
+            engines = engine_sample.sample_engines(live.groups, self.rng)
             missing = kept.difference(engine.instance for engine in engines)
             if missing:
-                engines += [e for e in known.engines if e.instance in missing]
+                engines += [e for e in live.engines if e.instance in missing]
         found = []
         for engine in engines:
             is_kept = engine.instance in kept
@@ -132,9 +132,9 @@
 
     def _live_engines(self, view: FleetView) -> _LiveEngines:
         version = (view.version, self.book.changes)
-        known = self.live.get(view.service)
-        if known is not None and known.version == version:
-            return known
+        live = self.live.get(view.service)
+        if live is not None and live.version == version:
+            return live
         engines = [
             engine
             for engine in view.engines
@@ -154,9 +154,9 @@
         ]
         shares = pooled_load.engine_shares(holdings, view.spec.layers)
         groups = engine_sample.group_engines(engines)
-        known = _LiveEngines(engines, groups, shares, version)
-        self.live[view.service] = known
-        return known
+        live = _LiveEngines(engines, groups, shares, version)
+        self.live[view.service] = live
+        return live
 
     def load(self, view: FleetView, now: float) -> pooled_load.FleetLoad:
         """Returns the estimated load of all nodes on the engines."""
@@ -175,12 +175,12 @@
         load: pooled_load.FleetLoad,
     ) -> path_search.Candidate:
         assert engine.layers is not None
-        held = engine.layers.count
+        layer_count = engine.layers.count
         running = load.own_running(engine.instance)
         if self.chooses_by_share(spec):
             running = load.running(engine.instance)
         factor = _step_factor(engine.kind, spec)
-        batch = running * held / spec.layers * BATCH_WAIT_FACTOR
+        batch = running * layer_count / spec.layers * BATCH_WAIT_FACTOR
         context_k = (spec.usual_prompt + spec.usual_answer / 2) / 1000
         per_request = spec.step_ms_per_request
         per_request += spec.step_ms_per_kilotoken * context_k
@@ -193,10 +193,10 @@
             start=engine.layers.start,
             end=engine.layers.end,
             layer_ms=factor * pace * step_ms / spec.layers * self._jitter(),
-            room=spec.layer_token_room(engine.kind, held),
-            used=load.used(engine.instance, held)
+            room=spec.layer_token_room(engine.kind, layer_count),
+            used=load.used(engine.instance, layer_count)
             / self.tolerance(engine.instance, load.now),
-            may_be_first=load.first(engine.instance) < engine.slots,
+            may_be_first=load.first_requests(engine.instance) < engine.slots,
         )
 
     def tolerance(self, instance: str, now: float) -> float:
@@ -210,7 +210,7 @@
     def _jitter(self) -> float:
         if self.nodes <= pooled_load.MANY_NODES:
             return 1.0
-        return self.rng.uniform(1.0, 1.0 + LARGE_GROUP_JITTER)
+        return self.rng.uniform(1.0, 1.0 + MANY_NODES_JITTER)
 
     def chooses_by_share(self, spec: engine_specs.EngineSpec) -> bool:
         """Returns whether one request of each node would overload a path.
@@ -221,5 +221,5 @@
 
 
 def _step_factor(kind: str, spec: engine_specs.EngineSpec) -> float:
-    known = spec.kinds.get(kind)
-    return known.step_factor if known is not None else 1.0
+    kind_spec = spec.kinds.get(kind)
+    return kind_spec.step_factor if kind_spec is not None else 1.0
--- a/src/almondshift/policy/path_choice.py
+++ b/src/almondshift/policy/path_choice.py
@@ -8,6 +8,9 @@
 
 Candidate paths are cached between searches, since a search costs more than
 the rest of an arrival.
+
+The relay uses this module. For nodes that call each engine of a chain
+themselves, see ``chain_choice``.
 """
 
 from __future__ import annotations
@@ -47,8 +50,8 @@
 views choose different paths."""
 
 LOAD_WEIGHT = 4.0
-"""Cost of a full path relative to an empty one. Without it the zone with the
-fastest accelerators queues requests while slower zones are idle."""
+"""Relative increase of a path's cost from empty to full. Without it the zone
+with the fastest accelerators queues requests while slower zones are idle."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -65,9 +68,9 @@
     Attributes:
         used: Its engines and their numbers of layers.
         cost_ms: Expected time of a step.
-        load: Memory utilisation of its fullest engine, with the request. Taken
-            from this node's own requests if that estimate is higher, which
-            may exceed 1.
+        load: Memory utilisation of its fullest engine. The higher of two
+            estimates: that used for admission, with the request, and that as
+            if all nodes had this node's requests. May exceed 1.
         zone_changes: How often the path changes the availability zone.
         rooms: Tokens that fit on each part when its engine is empty.
     """
@@ -128,7 +131,11 @@
         fitting = [
             chosen
             for found in self._current_paths(view, now)
-            if (chosen := self._check_fit(found, view.spec, tokens, load))
+            if (
+                chosen := self._choose_if_it_fits(
+                    found, view.spec, tokens, load
+                )
+            )
             and chosen.path[0].instance not in avoid
         ]
         if fitting and self.candidates.chooses_by_share(view.spec):
@@ -139,9 +146,9 @@
             score = chosen.cost_ms * (1.0 + LOAD_WEIGHT * chosen.load)
             score *= self.rng.uniform(1.0, 1.0 + COST_JITTER)
             # Ranked last rather than excluded: the estimate may be wrong.
-            is_crowded = load.first_after_next(chosen.path[0].instance) > (
-                view.spec.slots
-            )
+            is_crowded = load.first_requests_if_all_nodes_add_one(
+                chosen.path[0].instance
+            ) > (view.spec.slots)
             if best is None or (is_crowded, score) < best_rank:
                 best, best_rank = chosen, (is_crowded, score)
         return best
@@ -183,7 +190,7 @@
 
         Args:
             view: The engines.
-            path: The present path of the request.
+            path: The current path of the request.
             tokens: Memory that the request needs, in tokens.
             now: Monotonic seconds.
             avoid: Engines that may not be used.
@@ -191,12 +198,12 @@
         kept = frozenset(p.instance for p in path)
         for candidates in self.candidates.candidate_sets(view, now, kept):
             usable = [c for c in candidates if c.instance not in avoid]
-            found = self._move_over(view, path, tokens, now, usable)
+            found = self._find_with_same_start(view, path, tokens, now, usable)
             if found is not None:
                 return found
         return None
 
-    def _move_over(
+    def _find_with_same_start(
         self,
         view: path_candidates.FleetView,
         path: relayed.Path,
@@ -226,13 +233,13 @@
         self, view: path_candidates.FleetView, now: float
     ) -> list[path_search.FoundPath]:
         version = (view.version, self.book.changes)
-        kept = self.cached.get(view.service)
+        cached = self.cached.get(view.service)
         if (
-            kept is not None
-            and kept.version == version
-            and now - kept.searched_at < refresh_s(len(view.engines))
+            cached is not None
+            and cached.version == version
+            and now - cached.searched_at < refresh_s(len(view.engines))
         ):
-            return kept.paths
+            return cached.paths
         paths = self._search(view, now)
         self.cached[view.service] = _CachedPaths(paths, now, version)
         return paths
@@ -255,31 +262,35 @@
                 return paths
         return []
 
-    def _check_fit(
+    def _choose_if_it_fits(
         self,
         found: path_search.FoundPath,
         spec: engine_specs.EngineSpec,
         tokens: float,
         load: pooled_load.FleetLoad,
     ) -> ChosenPath | None:
-        fullest = own = over = 0.0
+        """Returns a found path if all its engines have room, or None.
+
+        Also records engines that seem nearly full in ``nearly_full``.
+        """
+        fullest = own = estimate_ratio = 0.0
         for part in found.parts:
             candidate = part.candidate
-            held = candidate.end - candidate.start
-            need = load.used(candidate.instance, held)
+            layer_count = candidate.end - candidate.start
+            need = load.used(candidate.instance, layer_count)
             need += tokens * (part.end - part.start)
             room = max(1.0, candidate.room)
             share = need / room
             fullest = max(fullest, share)
             own = max(own, load.own_share(candidate.instance, room))
             tolerance = self.candidates.tolerance(candidate.instance, load.now)
-            over = max(over, share / tolerance)
+            estimate_ratio = max(estimate_ratio, share / tolerance)
             if share > NEARLY_FULL_SHARE:
                 self.nearly_full[candidate.instance] = candidate.address
         first = found.parts[0].candidate.instance
-        if load.first(first) >= spec.slots:
+        if load.first_requests(first) >= spec.slots:
             return None
-        if over > path_search.FULL_SHARE:
+        if estimate_ratio > path_search.FULL_SHARE:
             return None
         return _to_chosen_path(found, max(fullest, own))
 
--- a/src/almondshift/policy/placement.py
+++ b/src/almondshift/policy/placement.py
@@ -30,6 +30,9 @@
 
 The plan is a pure function of its inputs: the same state gives the same plan,
 so a new holder of the control lease continues where the previous one stopped.
+
+Used for nodes that call each engine of a chain themselves. For the relay, see
+``layer_plan``.
 """
 
 from __future__ import annotations
@@ -50,7 +53,9 @@
     from collections.abc import Sequence
 
 MIN_MOVE_GAIN = 1.2
+"""Minimum ratio by which moving an engine must raise the least coverage."""
 MAX_LOADING_BYTES = 64_000_000
+"""Maximum bytes of weights that may be loading at once in the fleet."""
 _ZERO_RATE = 1e-9
 UNSET_FENCING = 0
 """Planned orders carry no fencing number; the sender sets it."""
@@ -58,7 +63,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlacedEngine:
-    """The present state of an engine; ``plan`` gets no leaving engines."""
+    """The current state of an engine; ``plan`` gets no leaving engines."""
 
     description: endpoints.EndpointDescription
     report: endpoints.LoadReport
@@ -114,7 +119,8 @@
     )
 
     @property
-    def min_coverage(self) -> float:
+    def min_coverage_per_demand(self) -> float:
+        """The rate of the least covered layer, divided by the demand."""
         return min(self.coverage) / self.demand
 
     def add(self, engine: PlacedEngine, span: layers.LayerRange) -> None:
@@ -202,22 +208,22 @@
         if service.kind is fleets.ServiceKind.PLAIN:
             return name in self.plain_ready
         spans = [
-            held.layers
+            holding.layers
             for engine in self.engines.values()
-            for held in engine.report.holdings
-            if held.ready
-            and held.model == service.model
-            and held.adapter == service.adapter
+            for holding in engine.report.holdings
+            if holding.ready
+            and holding.model == service.model
+            and holding.adapter == service.adapter
         ]
         count = self.fleet.models[service.model].layers
         return topology.covers_all(spans, count)
 
     def _loading_now(self) -> int:
         return sum(
-            self.fleet.models[held.model].layer_bytes * held.layers.count
+            self.fleet.models[holding.model].layer_bytes * holding.layers.count
             for engine in self.engines.values()
-            for held in engine.report.holdings
-            if not held.ready and held.model in self.fleet.models
+            for holding in engine.report.holdings
+            if not holding.ready and holding.model in self.fleet.models
         )
 
     def _assign_current(self) -> list[PlacedEngine]:
@@ -227,37 +233,37 @@
         """
         free = []
         for engine in self.engines.values():
-            held = self._best_holding(engine)
-            state = self._find_state(held) if held else None
-            if held is None or state is None:
+            holding = self._best_holding(engine)
+            state = self._find_state(holding) if holding else None
+            if holding is None or state is None:
                 free.append(engine)
             elif engine.is_draining:
-                state.draining[engine.name] = held.layers
+                state.draining[engine.name] = holding.layers
             else:
-                state.add(engine, held.layers)
+                state.add(engine, holding.layers)
         return free
 
     def _best_holding(self, engine: PlacedEngine) -> endpoints.Holding | None:
         """Returns the most useful holding, preferably the wanted version."""
         best = None
-        for held in engine.report.holdings:
-            state = self._find_state(held)
+        for holding in engine.report.holdings:
+            state = self._find_state(holding)
             if state is None:
                 continue
             rank = (
-                held.version == state.model.version,
-                held.ready,
-                held.layers.count,
+                holding.version == state.model.version,
+                holding.ready,
+                holding.layers.count,
             )
             if best is None or rank > best[0]:
-                best = (rank, held)
+                best = (rank, holding)
         return best[1] if best else None
 
-    def _find_state(self, held: endpoints.Holding) -> _WorkloadState | None:
+    def _find_state(self, holding: endpoints.Holding) -> _WorkloadState | None:
         for state in self.states:
             if (
-                state.workload == _Workload(held.model, held.adapter)
-                and held.layers.end <= state.model.layers
+                state.workload == _Workload(holding.model, holding.adapter)
+                and holding.layers.end <= state.model.layers
             ):
                 return state
         return None
@@ -333,8 +339,8 @@
         spare = []
         for name in sorted(serving, key=lambda n: (self._sessions(n), n)):
             span = set(_layers_of(state.holders[name]))
-            last = any(holders[layer] == 1 for layer in span)
-            if last or not uncovered & span:
+            is_last_holder = any(holders[layer] == 1 for layer in span)
+            if is_last_holder or not uncovered & span:
                 continue
             spare.append(name)
             holders.subtract(span)
@@ -358,9 +364,9 @@
         return chosen
 
     def _held(self, name: str) -> endpoints.Holding:
-        held = self._best_holding(self.engines[name])
-        assert held is not None
-        return held
+        holding = self._best_holding(self.engines[name])
+        assert holding is not None
+        return holding
 
     def _load(
         self,
@@ -396,9 +402,9 @@
         role: endpoints.EndpointRole,
     ) -> None:
         version = state.model.version
-        held = self._best_holding(engine)
-        if role is endpoints.EndpointRole.DRAINING and held is not None:
-            version = held.version
+        holding = self._best_holding(engine)
+        if role is endpoints.EndpointRole.DRAINING and holding is not None:
+            version = holding.version
         self.orders[engine.name] = orders.Order(
             UNSET_FENCING,
             role,
@@ -423,22 +429,26 @@
         if engine.description.layer_capacity < 1:
             return None
         return min(
-            self.states, key=lambda state: state.min_coverage, default=None
+            self.states,
+            key=lambda state: state.min_coverage_per_demand,
+            default=None,
         )
 
     def _rebalance(self) -> None:
-        """Moves one engine if that raises the minimum coverage enough.
+        """Moves one engine if that raises the least coverage per demand enough.
 
         Only one of several identical engines with the same holding is tried,
         because the others would result in the same coverage.
         """
         if self.loading > 0 or any(s.draining for s in self.states):
             return
-        state = min(self.states, key=lambda s: s.min_coverage, default=None)
+        state = min(
+            self.states, key=lambda s: s.min_coverage_per_demand, default=None
+        )
         tried = set()
         for engine in self.engines.values():
-            held = self._best_holding(engine)
-            signature = (_hardware_class(engine.description), held)
+            holding = self._best_holding(engine)
+            signature = (_hardware_class(engine.description), holding)
             if state is None or signature in tried:
                 continue
             tried.add(signature)
@@ -451,13 +461,19 @@
         )
         if origin is None or self._is_rolling(origin):
             return False
-        before = state.min_coverage
+        before = state.min_coverage_per_demand
         span = origin.remove(engine)
         still_covered = all(origin.coverage[span.start : span.end])
         target = _best_span(state, engine)
         state.add(engine, target)
-        improves = state.min_coverage > max(before * MIN_MOVE_GAIN, _ZERO_RATE)
-        if still_covered and improves and origin.min_coverage > before:
+        improves = state.min_coverage_per_demand > max(
+            before * MIN_MOVE_GAIN, _ZERO_RATE
+        )
+        if (
+            still_covered
+            and improves
+            and origin.min_coverage_per_demand > before
+        ):
             if engine.report.sessions:
                 self._drain(engine, origin, span)
                 return True
--- a/src/almondshift/policy/pooled_load.py
+++ b/src/almondshift/policy/pooled_load.py
@@ -200,14 +200,14 @@
         share = self._share(instance).running
         return fleet_total(here, self.mean_requests.mean, share, self.nodes)
 
-    def first(self, instance: str) -> float:
+    def first_requests(self, instance: str) -> float:
         """Returns the requests whose first engine this is."""
         here = self.own_first(instance)
         share = self._share(instance).first
         return fleet_total(here, self.own_requests, share, self.nodes)
 
-    def first_after_next(self, instance: str) -> float:
-        """Returns ``first`` after one more request of each node to the engine.
+    def first_requests_if_all_nodes_add_one(self, instance: str) -> float:
+        """Returns ``first_requests`` once each node has sent one more request.
 
         Nodes that start together, or learn of a loss together, choose at the
         same moment and don't see each other's choices yet. A node that counts
@@ -215,7 +215,7 @@
         fastest engine free, as would all the others.
         """
         if self.nodes <= MANY_NODES:
-            return self.first(instance)
+            return self.first_requests(instance)
         here = self.own_first(instance)
         share = self._share(instance).first
         return fleet_total(here + 1, self.own_requests + 1, share, self.nodes)
@@ -225,16 +225,16 @@
         state = self.book.states.get(instance)
         return state.first_running if state else 0
 
-    def used(self, instance: str, held: int) -> float:
+    def used(self, instance: str, layer_count: int) -> float:
         """Returns the estimated memory in use, in tokens times layers.
 
         Args:
             instance: The engine.
-            held: Number of layers that it holds.
+            layer_count: Number of layers that it holds.
         """
         state = self.book.states.get(instance)
         here = state.layer_tokens if state else 0.0
-        share = self._share(instance).running * held
+        share = self._share(instance).running * layer_count
         estimate = fleet_total(here, self.own_tokens, share, self.nodes)
         counted_nodes = self.nodes if self.nodes <= MANY_NODES else 1
         return self.book.used(instance, estimate, counted_nodes, self.now)
--- a/src/almondshift/policy/router.py
+++ b/src/almondshift/policy/router.py
@@ -1,4 +1,4 @@
-"""Request router: the facade over the modules that make load decisions.
+"""Request router: applies events to the modules that make load decisions.
 
 The router is a state machine that performs no I/O. Each event is first applied
 to the modules that it concerns. Waiting requests that can now run are then
@@ -64,7 +64,7 @@
 
 
 class LoadRouter(routers.Router):
-    """The production router."""
+    """Routes requests according to load, limits, deadlines and failures."""
 
     def __init__(
         self, rng: random.Random, node: str, settings: RouterSettings
@@ -238,6 +238,7 @@
     def _arrive(self, event: events.Arrival) -> list[actions.Action]:
         running = self.running.get(event.request_id)
         if running is not None:
+            # A second arrival of a dispatched request asks for its retry.
             return self._retry_plain(event, running)
         refusal = self._immediate_refusal(event)
         if refusal is not None:
@@ -322,9 +323,9 @@
             event.account,
             event.priority,
             request.cost,
-            request.job.long,
+            request.job.is_long,
         )
-        if not request.job.long:
+        if not request.job.is_long:
             self.long_jobs.record_short(event.at)
         lane.queue.push(request.entry, weight)
         self.waiting[event.request_id] = request
@@ -521,7 +522,10 @@
     def _retry_plain(
         self, event: events.Arrival, running: lanes_module.RunningRequest
     ) -> list[actions.Action]:
-        """Retries a plain request that was not executed on another endpoint."""
+        """Retries a plain request that its endpoint did not execute.
+
+        The retry is sent to another endpoint, or refused.
+        """
         if not running.endpoint:
             return []
         failed = running.endpoint
--- a/tests/policy/test_engine_starts.py
+++ b/tests/policy/test_engine_starts.py
@@ -32,7 +32,7 @@
             [(9, 1, 0.0), *((5, 2, t * 1.0) for t in range(2, 20))],
             [STANDS, *[LATE] * 18],
         ),
-        # A row of the accepted start resets the challenge.
+        # A row of the accepted start resets the count of rows of another start.
         (
             [
                 (9, 1, 0.0),
@@ -85,4 +85,4 @@
     starts = engine_starts.create_engine_starts()
     for number in range(engine_starts.MAX_TRACKED_ENGINES + 10):
         starts.judge(f"i-{number}", 5, number, 0.0)
-    assert len(starts.known) == engine_starts.MAX_TRACKED_ENGINES
+    assert len(starts.by_engine) == engine_starts.MAX_TRACKED_ENGINES
--- a/tests/policy/test_layer_copies.py
+++ b/tests/policy/test_layer_copies.py
@@ -58,7 +58,7 @@
         expected = layer_copies.layer_holders(others, held, 80)
         assert left.fastest == expected.fastest
         assert left.copies == expected.copies
-        assert left.counts == expected.counts
+        assert left.holder_layer_totals == expected.holder_layer_totals
         assert max(left.slowest, default=0.0) == max(
             expected.slowest, default=0.0
         )
--- a/tests/policy/test_pooled_load.py
+++ b/tests/policy/test_pooled_load.py
@@ -77,7 +77,7 @@
     load = pooled_load.FleetLoad(
         book, shares, 4, nodes, pooled_load.MeanRequests(), 0.0
     )
-    assert load.first_after_next("a") == soon
+    assert load.first_requests_if_all_nodes_add_one("a") == soon
 
 
 def test_few_requests_of_many_nodes_are_not_refused() -> None:
