--- a/src/almondshift/policy/admission.py
+++ b/src/almondshift/policy/admission.py
@@ -26,7 +26,7 @@
 
 SLACK_SHARE = 0.5
 PREDICTION_MARGIN = 0.75
-"""Share of the allowed wait that a prediction may reach. In the bench at four
+"""Share of the allowed wait that a prediction may reach. In a benchmark at four
 times the load, predictions were off by half a second; without a margin, 40 in
 100 admitted requests were refused only after their entire wait."""
 MAX_WAIT_S = {
--- a/src/almondshift/policy/ejection.py
+++ b/src/almondshift/policy/ejection.py
@@ -188,7 +188,10 @@
         return health.state if health else State.ACTIVE
 
     def slowness(self, name: str) -> float:
-        """Returns its slowness relative to its group; 1.0 if unknown."""
+        """Returns its slowness relative to its group, between 0.5 and 10.0.
+
+        It is 1.0 if unknown.
+        """
         health = self._health_by_name.get(name)
         if health is None or not health.calls:
             return 1.0
--- a/src/almondshift/policy/layer_copies.py
+++ b/src/almondshift/policy/layer_copies.py
@@ -31,10 +31,10 @@
     from almondshift.model import engine_specs
 
 SERVING_WEIGHTS_SHARE = 0.72
-"""Maximum share of its cards' memory for the weights of a serving chain. The
+"""Maximum share of its engines' memory for the weights of a serving chain. The
 rest holds 30,000 tokens if a chain has 200 GB and a token takes 1.8 MB; three
 such chains with 39 streams a second were three quarters full. A chain of fewer,
-faster cards would be faster but would refuse requests."""
+faster engines would be faster but would refuse requests."""
 
 FURTHER_COPY_VALUE = 0.01
 """Value of another copy of a layer with several holders, in layers to load,
--- a/src/almondshift/policy/layer_holdings.py
+++ b/src/almondshift/policy/layer_holdings.py
@@ -14,7 +14,7 @@
     from almondshift.model import layers as model_layers
 
 MAX_WEIGHTS_SHARE = 0.85
-"""Maximum share of a card's memory for layers when it replaces a dead
+"""Maximum share of an engine's memory for layers when it replaces a dead
 neighbour; the rest still holds some requests. At 0.8 the loss of the last
 engine of a chain, which has one neighbour, left a layer that no engine took."""
 
--- a/src/almondshift/policy/layer_plan.py
+++ b/src/almondshift/policy/layer_plan.py
@@ -1,14 +1,14 @@
 """Which layers each engine should hold.
 
-Cards differ in speed and memory, and none can hold the whole model; requests
+Engines differ in speed and memory, and none can hold the whole model; requests
 need memory beside the weights; engines die and come back empty. A running
 stream is interrupted when its node or an engine of its path dies, so that the
 duration of streams determines how many are interrupted. With one chain over all
-cards of a zone most layers would run on the slowest ones, and a lost engine
+engines of a zone most layers would run on the slowest ones, and a lost engine
 would leave a hole, layers that no engine holds, until they are loaded
 elsewhere.
 
-So in each zone the fastest cards that hold the model with memory for requests
+So in each zone the fastest engines that hold the model with memory for requests
 form the serving chain, and the others hold second copies of the same layers. A
 lost engine is replaced by moving its streams to them, and nothing is loaded.
 
--- a/src/almondshift/policy/layer_spread.py
+++ b/src/almondshift/policy/layer_spread.py
@@ -1,8 +1,8 @@
 """Rebalances the layers of a chain in steps, without giving any up.
 
 After engines were lost, came back or were slow for a time, a zone holds some
-layers twice, and others only on one small card full of them, or not at all.
-Repairs after each loss don't resolve that, and the fullest card limits the
+layers twice, and others only on one small engine full of them, or not at all.
+Repairs after each loss don't resolve that, and the fullest engine limits the
 requests that its whole zone admits. The balanced layout keeps the order of the
 engines, so that each loads few layers, and is reached in steps.
 """
@@ -21,7 +21,7 @@
 UNBALANCED_SHARE = 0.35
 """A chain is rebalanced when its fullest layer has less than this share of the
 memory for requests that a serving chain leaves: that layer limits the requests
-that the whole zone admits. A card filled to 0.85, as one that replaces a
+that the whole zone admits. An engine filled to 0.85, as one that replaces a
 neighbour, stays above it. Rebalancing sooner would load layers, and refuse
 requests meanwhile, for too small a gain."""
 
