--- a/src/almondshift/policy/account_limits.py
+++ b/src/almondshift/policy/account_limits.py
@@ -1,15 +1,16 @@
 """Token rate limits of client accounts, enforced across all nodes.
 
 An account spreads its requests over many nodes. If each node allowed the full
-limit, eight nodes would allow eight times as much. A fixed equal share per node
-would hold an account that uses one node to an eighth of what it paid for.
+limit, eight nodes would allow eight times as much. With a fixed equal share per
+node, an account that uses a single node would get an eighth of what it paid
+for.
 
 Each node measures its own usage and receives the usage of the others with a
-delay through ``PeerLoad``. ``shares`` computes from that a share per node; the
-shares add up to the limit after one exchange. The token bucket holds two
-seconds of the share, about one exchange and its propagation between the nodes.
-A request may overdraw the bucket, so that a request larger than the bucket can
-still run; the account then waits until the debt is paid.
+delay through ``PeerLoad``. ``shares`` computes this node's share from them; the
+shares of all nodes add up to the limit after one exchange. The token bucket
+holds two seconds of the share, about as long as an exchange takes to reach all
+nodes. A request may overdraw the bucket, so that a request larger than the
+bucket can still run; the account then waits until the debt is paid.
 """
 
 from __future__ import annotations
@@ -26,7 +27,8 @@
 MIN_USAGE_TOKENS_PER_S = 0.5
 IDLE_EXPIRY_S = 60.0
 MIN_ASSUMED_NODES = 4
-"""Least divisor of an equal share, if that many nodes are known."""
+"""Minimum number of nodes that equal shares are computed for; all known nodes
+if there are fewer."""
 
 
 @dataclasses.dataclass(slots=True)
--- a/src/almondshift/policy/admission.py
+++ b/src/almondshift/policy/admission.py
@@ -2,7 +2,7 @@
 
 If every request were admitted under sustained overload, the queue would grow
 until all requests are answered after their deadline: the engines would be busy,
-but callers would get no useful answers.
+but callers would get no useful responses.
 
 A request is admitted if it is expected to finish before its deadline, given the
 wait predicted from the fair queue and the drain rate and its own run time.
@@ -11,11 +11,11 @@
 because both figures are estimates and an admitted request that misses its
 deadline has used an engine for nothing.
 
-The cap by priority keeps the queue short for interactive requests. Two seconds
-of queue is more than the variation of completions within a second, so the
-engines stay busy, and callers who wait longer give up. Drafts may wait for
-half of their slack, however long. A request that is still waiting when its
-allowed wait ends is refused, so none is kept until close to its deadline.
+``MAX_WAIT_S`` keeps the queue short for interactive requests. Completions vary
+within a second, so that two seconds of queued work keep the engines busy;
+callers who wait longer give up. Bulk requests (drafts) may wait for half of
+their slack, however long. A request that is still waiting when its allowed wait
+ends is refused, so none is kept until close to its deadline.
 """
 
 from __future__ import annotations
@@ -58,7 +58,12 @@
 
 
 def predicted_wait_s(cost_ahead: float, drain_rate: float) -> float:
-    """Returns the wait at a drain rate in cost per second."""
+    """Returns the time in which the cost ahead is served.
+
+    Args:
+        cost_ahead: Cost that is served before the request.
+        drain_rate: Cost served per second.
+    """
     if cost_ahead <= 0.0:
         return 0.0
     return cost_ahead / drain_rate if drain_rate > 0.0 else math.inf
--- a/src/almondshift/policy/answer_times.py
+++ b/src/almondshift/policy/answer_times.py
@@ -1,17 +1,17 @@
-"""How long the next answer will take, estimated from recent ones.
+"""Estimates how long the next response will take from recent responses.
 
 A node that is asked to stop has some seconds left, and requests still arrive
-for three seconds. Under low load all their answers end in time. While engines
-are overloaded the same stream takes three times as long, and is cut off.
-Without an estimate a node can only accept all requests, or refuse all, most of
-which it could have served.
-
-Time is assumed proportional to the requested tokens, since engines give all
-streams about the same speed. Callers' estimates of their answers are often
-wrong by several times, so that a high percentile is used, and a constant is
-added to each length, which raises that of short answers most. During a stop a
-request is accepted only if its expected time fits into the time left, so that
-few accepted answers take longer than that.
+for three seconds. Under low load the responses to all of them end in time.
+While engines are overloaded the same stream takes three times as long, and is
+cut off. Without an estimate a node can only accept all requests, or refuse all,
+most of which it could have served.
+
+The duration is assumed proportional to the requested tokens, since engines
+generate all streams at about the same speed. Callers' estimates of the length
+are often wrong by several times, so that a high percentile is used. A constant
+is added to each length; it raises the expected time of short responses most.
+While a node stops, a request is accepted only if its expected time fits into
+the time left, so that few accepted responses take longer than that.
 """
 
 from __future__ import annotations
@@ -24,30 +24,31 @@
     from collections.abc import Sequence
 
 MAX_SAMPLES = 100
-"""Maximum number of answers kept for each service. With a dozen a second they
+"""Maximum number of responses kept per service. With a dozen a second they
 cover the last eight seconds, in which overloads come and go."""
 
 MIN_SAMPLES = 10
-"""Minimum number of answers for a percentile."""
+"""Minimum number of responses for a percentile."""
 
 DEFAULT_S_PER_TOKEN = 0.02
-"""Seconds per token assumed with fewer answers: the percentile under overload,
-since a node that has just started does not know whether there is one."""
+"""Seconds per token assumed with fewer responses: the percentile under
+overload, since a node that has just started does not know whether there is
+one."""
 
 OVERHEAD_TOKENS = 100.0
-"""Tokens added to the length of each answer, for the time until it begins and
+"""Tokens added to the length of each response, for the time until it begins and
 for estimates that are too low."""
 
 PERCENTILE = 0.95
-"""Percentile of the seconds per token. Of 3,412 streams under overload with
-4.2 s left, 1,465 would be accepted and 39 of them cut off; at 0.9 these are
-2,020 and 101, at 0.99 573 and 10. For each answer that is not cut off, some
-eight more callers have to retry elsewhere."""
+"""Percentile of the seconds per token. Of 3,412 streams under overload with 4.2
+s left, 1,465 would be accepted and 39 of them cut off; at 0.9 these are 2,020
+and 101, at 0.99 573 and 10. For each response that is not cut off, some eight
+more callers have to retry elsewhere."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UnfinishedAnswer:
-    """An answer in progress.
+    """A response in progress.
 
     Attributes:
         tokens: Its expected length.
@@ -63,7 +64,7 @@
 
 
 class AnswerTimes:
-    """Durations of the last answers of each service.
+    """Durations of the last responses of each service.
 
     Attributes:
         seconds_per_token: By service, from the oldest to the newest.
@@ -73,18 +74,18 @@
         self.seconds_per_token: dict[str, collections.deque[float]] = {}
 
     def note(self, service: str, tokens: float, seconds: float) -> None:
-        """Records a complete answer.
+        """Records a complete response.
 
         Args:
             service: The service that gave it.
             tokens: Its expected length; 0 if it has none.
             seconds: Time from its request's arrival to its end.
         """
-        kept = self.seconds_per_token.get(service)
-        if kept is None:
-            kept = collections.deque(maxlen=MAX_SAMPLES)
-            self.seconds_per_token[service] = kept
-        kept.append(seconds / (tokens + OVERHEAD_TOKENS))
+        recent = self.seconds_per_token.get(service)
+        if recent is None:
+            recent = collections.deque(maxlen=MAX_SAMPLES)
+            self.seconds_per_token[service] = recent
+        recent.append(seconds / (tokens + OVERHEAD_TOKENS))
 
     def expected_s(
         self,
@@ -92,19 +93,19 @@
         tokens: float,
         unfinished: Sequence[UnfinishedAnswer] = (),
     ) -> float:
-        """Returns the time in which an answer most likely ends, in seconds.
+        """Returns the time in which a response most likely ends, in seconds.
 
         Args:
             service: The service that gives it.
             tokens: Its expected length.
-            unfinished: Answers of the service in progress. Only those that
+            unfinished: Responses of the service in progress. Only those that
                 already took longer than expected are counted: they show an
-                overload before any answer given under it has ended.
+                overload before any response affected by it has ended.
         """
-        kept = list(self.seconds_per_token.get(service, ()))
-        high = high_rate(kept)
+        recent = list(self.seconds_per_token.get(service, ()))
+        high = high_rate(recent)
         longer = [rate for a in unfinished if (rate := a.rate()) > high]
-        return high_rate(kept + longer) * (tokens + OVERHEAD_TOKENS)
+        return high_rate(recent + longer) * (tokens + OVERHEAD_TOKENS)
 
 
 def high_rate(rates: Sequence[float]) -> float:
@@ -115,5 +116,5 @@
 
 
 def create_answer_times() -> AnswerTimes:
-    """Creates a record without any answers."""
+    """Creates a record without any responses."""
     return AnswerTimes()
--- a/src/almondshift/policy/baseline.py
+++ b/src/almondshift/policy/baseline.py
@@ -159,7 +159,10 @@
         needed: layers.LayerRange,
         avoid: str,
     ) -> tuple[chains.Stage, ...]:
-        """Covers ``needed`` greedily; empty if that is impossible."""
+        """Returns stages that cover ``needed``; empty if there are none.
+
+        Each stage extends as far as any engine's range allows.
+        """
         stages: list[chains.Stage] = []
         position = needed.start
         while position < needed.end:
@@ -176,7 +179,10 @@
     def _farthest(
         self, target: topology.Target, position: int, avoid: str
     ) -> tuple[int, list[str]]:
-        """Returns the farthest end of a range at a layer, and its holders."""
+        """Returns the farthest end of the ranges that hold a layer.
+
+        Also returns the engines whose range ends there.
+        """
         farthest, names = position, list[str]()
         for span, holders in self.topology.ranges.get(target, {}).items():
             if not span.start <= position < span.end:
--- a/src/almondshift/policy/capacity_shares.py
+++ b/src/almondshift/policy/capacity_shares.py
@@ -1,15 +1,17 @@
 """Each path's share of all requests, and how a node follows the shares.
 
 Hundreds of nodes have a few requests each at a time, fewer than there are
-paths. If each takes the best path on which it has no request, the best one gets
-a request of every node. With 200 nodes that is twice the slots of its first
-engine, and callers wait there while slower paths are nearly empty.
+paths. If each node takes the best path on which it has no request yet, the best
+path of all gets a request from every node. With 200 nodes that is twice the
+slots of its first engine, and callers wait there while slower paths are nearly
+empty.
 
 So the total number of requests is estimated from this node's own, and is
 distributed such that all paths in use cost the same and none gets more than it
 has room for. A node draws a path at random, weighted by how far its own
-requests on the path fall short of its part of the share. In this way even a few
-requests of each of many nodes add up to the shares.
+requests on the path fall short of the path's share divided by the number of
+nodes. In this way even a few requests of each of many nodes add up to the
+shares.
 
 A node's number of requests at one moment is a poor estimate, so demand is based
 on its mean over some seconds, or on the current number if that is higher.
@@ -25,8 +27,8 @@
     import random
 
 BISECTION_STEPS = 30
-"""Halvings of the interval that holds the common cost; they narrow it to a
-billionth."""
+"""Halvings of the interval in which the common cost is searched; they narrow it
+to a billionth."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -63,14 +65,17 @@
     low = min(option.cost for option in options)
     high = max(option.cost for option in options) * (1.0 + load_weight)
     for _ in range(BISECTION_STEPS):
-        price = (low + high) / 2
+        common_cost = (low + high) / 2
         if (
-            sum(_requests_at(option, price, load_weight) for option in options)
+            sum(
+                _requests_at(option, common_cost, load_weight)
+                for option in options
+            )
             < demand
         ):
-            low = price
+            low = common_cost
         else:
-            high = price
+            high = common_cost
     taken = [_requests_at(option, high, load_weight) for option in options]
     return [share * demand / sum(taken) for share in taken]
 
@@ -85,8 +90,9 @@
 
     Args:
         options: The paths.
-        wanted: Their requests of all nodes, as ``shares`` returns them.
-        nodes: Nodes, this one included.
+        wanted: Requests of all nodes that each path should have, as returned
+            by ``shares``.
+        nodes: Number of nodes, this one included.
         rng: Source of randomness.
     """
     missing = [
@@ -98,7 +104,9 @@
     return rng.choices(range(len(options)), missing)[0]
 
 
-def _requests_at(option: PathOption, price: float, load_weight: float) -> float:
-    """Returns the number of requests at which a path costs ``price``."""
-    load = (price / option.cost - 1.0) / load_weight
+def _requests_at(
+    option: PathOption, common_cost: float, load_weight: float
+) -> float:
+    """Returns the number of requests at which a path costs this."""
+    load = (common_cost / option.cost - 1.0) / load_weight
     return option.capacity * min(1.0, max(0.0, load))
--- a/src/almondshift/policy/chain_choice.py
+++ b/src/almondshift/policy/chain_choice.py
@@ -171,7 +171,7 @@
         self.topology.changed.clear()
 
     def refresh(self, name: str) -> None:
-        """Adds an engine to its pools or removes it, by its spare capacity."""
+        """Adds an engine with spare capacity to its pools, or removes it."""
         engine = self.engines.get(name)
         if engine is None:
             return
@@ -281,7 +281,7 @@
             self.capacity_generation += job.is_long
 
     def mark_full(self, name: str) -> None:
-        """Stops sending work to an engine that refused it until it reports."""
+        """Marks an engine that refused work as full until its next report."""
         engine = self.engines.get(name)
         if engine is not None:
             engine.load.allowed = min(engine.load.allowed, engine.load.own)
@@ -313,7 +313,7 @@
     def expected_call_s(
         self, name: str, tokens: int, layer_count: int
     ) -> float:
-        """Returns the expected call time by the engine's description.
+        """Returns the call time computed from the engine's description.
 
         The call shares its batch with other requests in proportion to the
         engine's utilisation. Above the engine's limit it also waits for
@@ -488,7 +488,7 @@
         return min(costs, key=lambda cost: cost.seconds(span.count))
 
     def _cost(self, name: str, job: Job, factor: float) -> _Cost:
-        """Returns the expected time of a job on one stage, by layers."""
+        """Returns a job's expected time on an engine, linear in layers."""
         engine = self.engines[name]
         load, described = engine.load, engine.description
         utilisation = min(1.0, load.utilisation)
@@ -522,7 +522,7 @@
         options: tuple[_RangeExits, ...],
         sampled: dict[layers.LayerRange, _Cost],
     ) -> None:
-        """Updates the cheapest rest of the chain from ``position``."""
+        """Updates the first stage of the cheapest chain from ``position``."""
         for option in options:
             cost = sampled.get(option.span)
             if cost is None:
--- a/src/almondshift/policy/concurrency.py
+++ b/src/almondshift/policy/concurrency.py
@@ -3,9 +3,9 @@
 Many concurrent requests reach an engine through several nodes, which learn its
 load with a delay. Without a bound, requests beyond a full batch wait inside the
 engine, where they can't be reordered by account or refused, and the time
-between tokens grows for every request. With a bound that each node applies to
-the entire engine, eight nodes overshoot eightfold within the delay of one
-report.
+between tokens grows for every request. If each node allowed its own requests up
+to the bound for the entire engine, eight nodes would overshoot eightfold within
+the delay of one report.
 
 By Little's law an engine with full batches of ``max_batch`` needs ``rate *
 token_time`` concurrent requests, where the token time is that of one token
@@ -18,9 +18,9 @@
 other nodes. At most nine tenths of the sessions that the engine's memory holds
 are used, so that delays don't lead to refusals by the engine.
 
-A node counts its own requests exactly, and those of others from the engine's
-report as of the time when it was measured; ``shares`` divides the free
-capacity.
+A node counts its own requests exactly. Those of others are the requests in the
+engine's report less its own at the time of the measurement. ``shares`` divides
+the free capacity.
 """
 
 from __future__ import annotations
@@ -48,7 +48,8 @@
     Attributes:
         own: Number of this node's requests on the engine.
         own_long: Number of this node's long requests on it.
-        pending_prompt_tokens: Own prompt tokens sent and not answered yet.
+        pending_prompt_tokens: Prompt tokens that this node has sent to it and
+            that are not processed yet.
         allowed: Number of requests that this node may have on it.
         others: Number of requests of other nodes on it.
         limit: Maximum number of requests of all nodes on it.
--- a/src/almondshift/policy/crash_strikes.py
+++ b/src/almondshift/policy/crash_strikes.py
@@ -1,4 +1,4 @@
-"""Detects requests that crash each endpoint that runs them, over all nodes.
+"""Detects, over all nodes, requests that crash every endpoint that runs them.
 
 One request crashes its endpoint, its caller retries through any node, and the
 next endpoint crashes too. Without a limit that spans nodes, a single caller
@@ -6,16 +6,17 @@
 
 A request is identified by its fingerprint. It gets a strike for each attempt
 during which an endpoint broke the connection and then turned out to be gone;
-resets and lost answers of live endpoints are none. Several engines of one path
-that die together, such as those of a rack, are one strike, since a request that
-crashes its endpoints does so in each attempt. With ``MAX_STRIKES`` strikes it
-is refused, unless it was answered successfully in the meantime.
+connection resets and lost responses of endpoints that are still alive don't
+count. Several engines of one path that die together, such as those of a rack,
+are one strike, since a request that crashes its endpoints does so in each
+attempt. With ``MAX_STRIKES`` strikes it is refused, unless it was answered
+successfully in the meantime.
 
 An endpoint that crashes for another reason interrupts some sixty streams, a
-third of a zone's. That one of them meets three such crashes in its few seconds
-is rare, and it is then only not retried. Requests that several callers send
-with the same content, such as an empty body, are answered successfully all the
-time, which clears them here and at peers.
+third of a zone's. It is rare that one of them meets three such crashes in its
+few seconds, and the only consequence is that it is not retried. Requests that
+several callers send with the same content, such as an empty body, are answered
+successfully all the time, which clears them here and at peers.
 """
 
 from __future__ import annotations
--- a/src/almondshift/policy/ejection.py
+++ b/src/almondshift/policy/ejection.py
@@ -1,34 +1,34 @@
 """Outlier ejection: removes slow and failing endpoints from service.
 
 An engine may answer, but slowly (a throttled accelerator, a degraded link). It
-delays every chain that runs through it, and with several stages per chain most
-requests meet it. Selection by expected time alone sends it less work, but never
-learns that it has recovered.
+delays every chain that includes it, and with several stages per chain that
+affects most requests. Selection by expected time alone sends it less work, but
+never learns that it has recovered.
 
 An engine is compared with the median of the engines with the same kind of
 accelerator and the same layers (for plain endpoints, of the same service),
-because kinds of accelerator differ by more than a slow engine does from its own
-kind. The compared value is the minimum call time in a window of at least half a
-second and five calls, divided by the time expected from the engine's
-description at its current load. The mean time of a call is mostly queueing
-behind other work, which differs tenfold between healthy engines (comparing
-smoothed times ejected healthy engines about fifteen times a second in a
-benchmark at the specified load, 1x), while the minimum of a slow engine is as
-slow as the engine. The threshold is three times the median: a wrong estimate of
-the batch size changes the ratio by less, and an engine that is ten times slower
-still answers five calls of a node in about a second. No endpoint is ejected as
-slow before half of its group is measured.
+because the speeds of two kinds of accelerator differ by more than those of a
+slow and a healthy engine of one kind. The compared value is the minimum call
+time in a window of at least half a second and five calls, divided by the time
+expected from the engine's description at its current load. The mean time of a
+call is mostly queueing behind other work, which differs tenfold between healthy
+engines (comparing smoothed times ejected healthy engines about fifteen times a
+second in a benchmark at the specified load, 1x), while the minimum of a slow
+engine is as slow as the engine. The threshold is three times the median: a
+wrong estimate of the batch size changes the ratio by less, and an engine that
+is ten times slower still answers five calls of a node in about a second. No
+endpoint is ejected as slow before half of its group is measured.
 
 At most a fifth of a group, or one endpoint if that is more, may be ejected or
 on trial: if more are slow, the load is the cause and ejection makes it worse.
 The only endpoint of a group has nothing to be compared with and stays in
 service.
 
-An ejected endpoint is probed after one second, then with exponential backoff
-up to thirty seconds. Once a probe is as fast as the group, the endpoint gets
-two concurrent requests for a trial window, and its full share if the trial
-succeeds. An endpoint that can't be reached, or fails twice without an answer
-in between, is ejected regardless of that limit.
+An ejected endpoint is probed after one second, then with exponential backoff up
+to thirty seconds. Once a probe is as fast as the group, the endpoint gets two
+concurrent requests for a trial window, and its full share if the trial
+succeeds. An endpoint that can't be reached, or fails twice without a successful
+call in between, is ejected regardless of the limit on ejected endpoints.
 """
 
 from __future__ import annotations
@@ -54,8 +54,8 @@
 MIN_PROBE_DELAY_S = 1.0
 MAX_PROBE_DELAY_S = 30.0
 PROBE_TIMEOUT_S = 5.0
-"""Time for the answer to a probe, in seconds. An unanswered probe is repeated
-after this and the probe delay."""
+"""Time to wait for the response to a probe, in seconds. A probe without a
+response is repeated after this time plus the probe delay."""
 MEDIAN_REFRESH_S = 0.1
 """Minimum interval between updates of the medians of a group, in seconds."""
 WINDOW_S = 0.5
--- a/src/almondshift/policy/endpoint_choice.py
+++ b/src/almondshift/policy/endpoint_choice.py
@@ -3,13 +3,13 @@
 A service has a few endpoints with few slots, one of which may become slow,
 hang, or fail some of its requests while it reports itself healthy. With
 round-robin each third request would go to it. So the endpoint with the lowest
-expected time is chosen: the smoothed time of its answers, multiplied by one
-more than its requests in flight. Failures count as slow answers, and their
-effect decays.
+expected time is chosen: the smoothed time of its responses, multiplied by one
+plus its requests in flight. Failures count as slow responses, and their effect
+decays.
 
-Answers take 20 to 90 ms and arrive about once a second at a node, so that an
-average over about eight answers reacts within some seconds. Endpoints are only
-compared with each other, so that none is ejected when all are busy.
+Responses take 20 to 90 ms and arrive about once a second at a node, so that an
+average over about eight responses reacts within some seconds. Endpoints are
+only compared with each other, so that none is ejected when all are busy.
 """
 
 from __future__ import annotations
@@ -25,13 +25,14 @@
     from almondshift.model import registered_engines
 
 SMOOTHING = 0.25
-"""Weight of the newest answer in the moving average."""
+"""Weight of the newest response in the moving average."""
 
 INITIAL_S = 0.05
-"""Expected time of an endpoint that has not answered yet, in seconds."""
+"""Expected time of an endpoint that has not responded yet, in seconds."""
 
 FAILURE_S = 1.0
-"""Time as which a failure counts, in seconds; ten times a usual answer."""
+"""Time as which a failure counts, in seconds; ten times that of a usual
+response."""
 
 RECOVERY_S = 4.0
 """Half-life of the excess over ``INITIAL_S``, in seconds, so that an endpoint
@@ -47,7 +48,7 @@
 
     Attributes:
         in_flight: Requests that were sent and have not ended.
-        expected_s: Smoothed time of its answers.
+        expected_s: Smoothed time of its responses.
         at: When that was updated; monotonic seconds.
         unreachable_until: End of the time for which it is avoided.
     """
@@ -99,7 +100,7 @@
         return best
 
     def expected(self, record: EndpointRecord, now: float) -> float:
-        """Returns the expected time of an answer, with the excess decayed."""
+        """Returns the expected time of a response, with the excess decayed."""
         age = max(0.0, now - record.at)
         excess = max(0.0, record.expected_s - INITIAL_S)
         return INITIAL_S + excess * math.exp2(-age / RECOVERY_S)
@@ -109,7 +110,7 @@
         self.record(instance).in_flight += 1
 
     def answered(self, instance: str, seconds: float, now: float) -> None:
-        """Records a usable answer."""
+        """Records a usable response."""
         self._note(instance, seconds, now)
 
     def failed(self, instance: str, now: float) -> None:
--- a/src/almondshift/policy/entries.py
+++ b/src/almondshift/policy/entries.py
@@ -1,20 +1,20 @@
 """Selection of the node addresses that callers connect to.
 
-There is no load balancer in front; callers cache an answer for a while and
-connect themselves. If every caller got the same list, the first address would
-take all load. If every account were spread over all nodes, one hot account
-would fill them all.
+There is no load balancer in front; callers cache the addresses in a response
+for a while and connect to them directly. If every caller got the same list, the
+first address would take all load. If every account were spread over all nodes,
+one hot account would fill them all.
 
 Addresses are chosen by shuffle sharding: rendezvous hashing assigns a few nodes
 to each account. With 8 nodes and shards of 4, only one pair of accounts in 70
 shares all its nodes, and a node that joins or leaves affects only the accounts
 it serves. The shard alternates between availability zones, so that working
 addresses remain when a zone is lost, and grows with the account's weight, so
-that a large account isn't limited to four nodes. Each answer is shuffled within
-the shard, which spreads an account's callers evenly.
+that a large account isn't limited to four nodes. Each response is shuffled
+within the shard, which spreads an account's callers evenly.
 
 Leaving and stale nodes are omitted while others remain; overloaded ones come
-last. Answers are valid for five seconds, so that callers have stopped using a
+last. Responses are valid for five seconds, so that callers have stopped using a
 stopping node well before its grace period ends, and for two seconds while a
 node is leaving or overloaded. A jitter of a fifth keeps callers from asking at
 the same time.
@@ -43,7 +43,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EntryNode:
-    """A node as the answering node knows it.
+    """A node as known to the node that responds.
 
     Attributes:
         address: ``host:port`` that callers connect to.
@@ -76,7 +76,7 @@
     """Returns the addresses for one account's caller.
 
     Args:
-        nodes: All known nodes, including the answering one.
+        nodes: All known nodes, including the one that responds.
         account: Name of the client account, or ``""`` if unknown.
         account_share: Its weight divided by the sum of all weights.
         rng: Source of random choices.
--- a/src/almondshift/policy/events.py
+++ b/src/almondshift/policy/events.py
@@ -13,7 +13,7 @@
 
 
 class FailureReason(enum.StrEnum):
-    """Reason why an endpoint did not answer for a stage."""
+    """Reason why a stage of a chain failed."""
 
     UNREACHABLE = "unreachable"
     REFUSED = "refused"
--- a/src/almondshift/policy/fair_queue.py
+++ b/src/almondshift/policy/fair_queue.py
@@ -1,18 +1,19 @@
 """Weighted fair queueing of requests between client accounts.
 
 Some accounts send more than their share, and small critical requests arrive
-among drafts. In a single FIFO queue, an account that sends ten times its share
-gets ten times its share and everybody waits for it. With strict priorities, a
-steady stream of urgent requests starves the drafts.
+among long drafts, which have the priority BULK. In a single FIFO queue, an
+account that sends ten times its share gets ten times its share and everybody
+waits for it. With strict priorities, a steady stream of urgent requests starves
+the drafts.
 
 Start-time fair queueing (Goyal, Vin and Cheng, 1996) is applied twice: between
 priorities and, within each, between accounts. Work is counted by cost (prompt
 and expected tokens), because a count of requests would favour accounts with
 long requests. A priority or account that was idle starts at the current virtual
 time, so a small critical request is next regardless of the backlog; one that is
-always busy gets its weight and no more. The weights of 16, 4 and 1 leave drafts
-a twentieth of a system that urgent requests alone would fill. Operators
-configure the weight of an account.
+always busy gets the share given by its weight and no more. The weights of 16, 4
+and 1 leave drafts a twentieth of a system that urgent requests alone would
+fill. Operators configure the weight of an account.
 
 Long requests have a separate queue within each account, so that a long one
 that may not start yet doesn't block the short ones behind it.
@@ -59,7 +60,8 @@
 
 
 MAX_EXACT_FLOWS = 64
-"""Largest number of accounts for which waits are predicted per account."""
+"""Largest number of accounts whose waiting work is taken into account one by
+one when a wait is predicted."""
 
 
 class _Flow(Generic[T]):
@@ -133,11 +135,11 @@
             self._push_heap(flow, entry.long)
 
     def peek(self, *, allow_long: bool) -> Entry[T] | None:
-        short = self._top(long=False)
+        first = self._top(long=False)
         long = self._top(long=True) if allow_long else None
-        if short is None or (long is not None and long[0] < short[0]):
-            short = long
-        return None if short is None else short[1]
+        if first is None or (long is not None and long[0] < first[0]):
+            first = long
+        return None if first is None else first[1]
 
     def dequeue(self, entry: Entry[T]) -> None:
         flow = self.flows[entry.account]
@@ -256,8 +258,9 @@
 
         This is the account's own waiting work, the work of others that their
         weights allow in the same time, and one request of each other account,
-        which is the delay bound of start-time fair queueing. With many
-        accounts, the others are assumed to have unlimited work.
+        which is the delay bound of start-time fair queueing. With more than
+        ``MAX_EXACT_FLOWS`` accounts, the others are assumed to have unlimited
+        work.
         """
         level = self.levels[priority]
         flow = level.flows.get(account)
--- a/src/almondshift/policy/feed_readers.py
+++ b/src/almondshift/policy/feed_readers.py
@@ -3,17 +3,18 @@
 Hundreds of nodes that each follow two tables poll the store for changes several
 times a second, and most often while it is unavailable and all retry. The
 capacity of the store, which is paid for, is spent on queries that nearly all
-have the same answer.
+have the same result.
 
 So in a large group a few nodes, the readers, follow the store, and the others
-query them. A reader's answer states the age of its data, so that a node notices
+query them. A reader's reply states the age of its data, so that a node notices
 when its reader has lost the store, and queries another reader or the store.
 
-In groups of up to ``FEW_NODES`` nodes each follows the store, which saves a hop
-where there are few calls. A reader makes the same calls in any zone, so that
-the number of readers depends on the number of nodes and not of zones. Readers
-are spread over as many zones as possible. Each node prefers two of them, one of
-which remains when the other restarts or is refused by the store.
+In groups of up to ``FEW_NODES`` nodes each follows the store: its calls are few
+in any case, and a hop through a reader is avoided. A reader makes the same
+calls in any zone, so that the number of readers depends on the number of nodes
+and not of zones. Readers are spread over as many zones as possible. Each node
+prefers two of them, one of which remains when the other restarts or is refused
+by the store.
 """
 
 from __future__ import annotations
@@ -57,8 +58,9 @@
 seconds."""
 
 SILENT_S = 5.0
-"""The same for a reader that does not answer. Each query to it costs a whole
-time-out, and peers count as silent only after some seconds."""
+"""Time for which a reader that does not reply is avoided, in seconds. Each
+query to it costs a whole time-out, and peers count as silent only after some
+seconds."""
 
 PROBES_PER_S = 20.0
 """Calls per second that all nodes together make to a store that seems
@@ -80,7 +82,7 @@
     Attributes:
         chosen: The nodes that follow the store.
         stand_ins: Up to as many others, queried when none of ``chosen`` can
-            answer. They then read the store themselves, like any node without
+            reply. They then read the store themselves, like any node without
             a reader.
     """
 
--- a/src/almondshift/policy/first_event_wait.py
+++ b/src/almondshift/policy/first_event_wait.py
@@ -1,13 +1,13 @@
 """How long a stream may wait for its first event before it is run elsewhere.
 
-An endpoint may run requests and lose their answers, or hang, while its health
-check and its reports are good. A caller then gets nothing and leaves, seconds
-after other streams had their first event.
+An endpoint may run requests and lose the responses, or hang, while its health
+check succeeds and its reports look normal. A caller then gets nothing and
+disconnects, seconds after other streams had their first event.
 
 So a stream whose first event is overdue, compared with the usual time at this
 node, is run again over another path. When all streams are late, as in a burst,
-the usual time grows and they are not run twice: an abandoned stream counts with
-the time that it waited.
+the usual time grows and they are not run twice, since an abandoned stream is
+included with the time that it waited.
 """
 
 from __future__ import annotations
--- a/src/almondshift/policy/greedy_placement.py
+++ b/src/almondshift/policy/greedy_placement.py
@@ -1,8 +1,8 @@
 """Baseline planner: fills complete chains with engines in order of name.
 
 Each engine gets as many layers as fit, continuing after the engine before it.
-Speeds and links are ignored, and an engine that joins early in the order
-shifts the ranges of those behind it.
+Speeds and links are ignored, and an engine that joins shifts the ranges of all
+engines after it in the order.
 """
 
 from __future__ import annotations
--- a/src/almondshift/policy/group_size.py
+++ b/src/almondshift/policy/group_size.py
@@ -1,4 +1,4 @@
-"""How many nodes share the engines, even before a node has found its peers.
+"""Counts the nodes that share the engines, even before peers are discovered.
 
 All nodes of a group may start at once, after a power loss or an outage of the
 platform, and all rejected callers come back within the same second. A node
@@ -7,9 +7,9 @@
 everything to the same few, and these refuse requests for which others had room.
 
 Each node that starts writes a row to the store and then reads all rows, within
-some ms. Rows of nodes that are gone remain for minutes, so that rows alone give
-too high a count; peers alone give too low a count until all are found. So rows
-are used only during discovery.
+milliseconds. Rows of nodes that are gone remain for minutes, so that rows alone
+give too high a count; peers alone give too low a count until all are found. So
+rows are used only during discovery.
 """
 
 from __future__ import annotations
--- a/src/almondshift/policy/lanes.py
+++ b/src/almondshift/policy/lanes.py
@@ -5,7 +5,7 @@
 
 Requests for one model and adapter, or for one plain service, compete for the
 same endpoints. They form one lane with its own fair queue, drain rate and time
-estimates. A lane that is blocked says nothing about another one.
+estimates. A blocked lane does not mean that another one is blocked.
 
 Run times are learned from observed requests with an exponential moving average
 (a weight of a tenth for each new value, so over about ten requests). Prompt
@@ -115,7 +115,7 @@
         self._long_tried_at = float("-inf")
 
     def expected_tokens(self, max_tokens: int) -> float:
-        """Returns the number of tokens that a request should generate."""
+        """Returns the number of tokens that a request is likely to generate."""
         return max_tokens * self.generated_share
 
     def run_s(self, job: chain_choice.Job) -> float:
--- a/src/almondshift/policy/layer_copies.py
+++ b/src/almondshift/policy/layer_copies.py
@@ -4,7 +4,7 @@
 the fastest engine of each layer, and pause when it dies. A fast engine helps
 most where only slower ones hold the layers. A slow one helps as a second copy,
 to which streams can be moved without loading any layers, and most where a loss
-would leave the longest hole.
+would leave the largest hole, that is, layers that no engine holds.
 
 The time of a token is the sum over its layers, so that the gain of a range is a
 sum too, and the best range of a given length is found in one pass. The cost of
@@ -161,7 +161,7 @@
     engine: layer_holdings.PlannedEngine,
     spec: engine_specs.EngineSpec,
 ) -> model_layers.LayerRange | None:
-    """Returns the range where a second copy avoids the longest holes."""
+    """Returns the range where a second copy avoids the largest holes."""
     holders = layer_holders(group, held, spec.layers)
     return _best_copy_range(_copy_values(holders), engine, spec)
 
@@ -367,10 +367,10 @@
     return [
         layers
         if not count
-        else float(alone)
+        else float(holder_layers)
         if count == 1
         else FURTHER_COPY_VALUE / count
-        for count, alone in zip(
+        for count, holder_layers in zip(
             holders.copies, holders.holder_layer_totals, strict=True
         )
     ]
--- a/src/almondshift/policy/layer_rebalancing.py
+++ b/src/almondshift/policy/layer_rebalancing.py
@@ -1,7 +1,7 @@
 """Rebalances the layers of a chain in steps, without giving any up.
 
 After engines were lost, came back or were slow for a time, a zone holds some
-layers twice, and others only on one small engine full of them, or not at all.
+layers twice, and others only on one small engine that they fill, or not at all.
 Repairs after each loss don't resolve that, and the fullest engine limits the
 requests that its whole zone admits. The balanced layout keeps the order of the
 engines, so that each loads few layers, and is reached in steps.
@@ -21,9 +21,9 @@
 UNBALANCED_SHARE = 0.35
 """A chain is rebalanced when its fullest layer has less than this share of the
 memory for requests that a serving chain leaves: that layer limits the requests
-that the whole zone admits. An engine filled to 0.85, as one that replaces a
-neighbour, stays above it. Rebalancing sooner would load layers, and refuse
-requests meanwhile, for too small a gain."""
+that the whole zone admits. An engine that takes over a neighbour's layers, and
+is filled to 0.85, stays above it. Rebalancing sooner would load layers, and
+refuse requests meanwhile, for too small a gain."""
 
 
 def _layer_room_mb(
@@ -136,7 +136,7 @@
     present: model_layers.LayerRange,
     target: model_layers.LayerRange,
 ) -> bool:
-    """Returns whether layers given up are held by those that should hold them.
+    """Returns whether layers given up are already held where they should be.
 
     It is not enough that any other engine holds them: two engines could then
     give up the same layers at once, each relying on the other.
@@ -146,8 +146,8 @@
     return all(
         any(
             wanted.start <= layer < wanted.end
-            and (has := held[instance]) is not None
-            and has.start <= layer < has.end
+            and (current := held[instance]) is not None
+            and current.start <= layer < current.end
             for instance, wanted in targets.items()
             if wanted is not None
         )
--- a/src/almondshift/policy/long_jobs.py
+++ b/src/almondshift/policy/long_jobs.py
@@ -1,13 +1,13 @@
 """Limit on the engine sessions that long requests may hold.
 
 Long requests run among short ones. A draft of a thousand tokens holds its
-session fifty times as long as a reply of twenty. Without a bound, long requests
-accumulate until they hold all sessions, and short ones wait for one of them to
-end.
+session fifty times as long as a response of twenty. Without a bound, long
+requests accumulate until they hold all sessions, and short ones wait for one of
+them to end.
 
 While short requests arrive, long ones may hold half of the sessions that a node
 uses on an engine. A session of a short request is released within one short run
-time, so the other half turns over quickly. If no short request has arrived for
+time, so the other half is soon free again. If no short request has arrived for
 ten seconds, a tenth of the sessions is still reserved, because the first short
 request after a quiet time should not wait either.
 
--- a/src/almondshift/policy/path_search.py
+++ b/src/almondshift/policy/path_search.py
@@ -1,10 +1,10 @@
 """Shortest-path search: which engines run which layers of a request.
 
-Engines of mixed speed hold overlapping ranges of layers; some die, some fill
-up. A fixed chain is lost with any of its engines, while a search over ranges
-uses any engines that still hold the layers. Without a penalty for each change
-of zone, paths scatter over the links between zones, which all requests share,
-and streams pause while the tokens of others are transferred.
+Engines of mixed speed hold overlapping ranges of layers; some fail, and some
+run out of memory. A fixed chain is lost with any of its engines, while a search
+over ranges uses any engines that still hold the layers. Without a penalty for
+each change of zone, paths scatter over the links between zones, which all
+requests share, and streams pause while the tokens of others are transferred.
 
 The published cost of a step is divided evenly by layer, so that a part of a
 range costs its share. A hop costs the wait for the next engine's batch; half a
--- a/src/almondshift/policy/pooled_load.py
+++ b/src/almondshift/policy/pooled_load.py
@@ -89,7 +89,7 @@
     for holding in known:
         for layer in range(holding.start, min(holding.end, layers)):
             speeds[layer] += holding.speed
-    # Prefix sums: the cost of a holding is independent of its layers.
+    # With prefix sums, the time per holding doesn't depend on its length.
     totals = [0.0]
     for speed in speeds:
         totals.append(totals[-1] + (1.0 / speed if speed else 0.0))
@@ -179,11 +179,12 @@
         mean_requests.note(self.own_requests, now)
 
     def own_share(self, instance: str, room: float) -> float:
-        """Returns an engine's memory utilisation if all nodes were like this.
+        """Returns an engine's memory use if all nodes had the same requests.
 
-        Too coarse to tell whether an engine is full, but it directs a node's
-        next request to engines on which it has none. By pooled load alone,
-        equal engines look the same and all nodes would choose the cheapest.
+        This is too coarse to tell whether an engine is full, but it directs a
+        node's next request to engines on which it has none. By pooled load
+        alone, equal engines look the same and all nodes would choose the
+        cheapest.
         """
         state = self.tracker.states.get(instance)
         return state.layer_tokens * self.nodes / room if state else 0.0
--- a/src/almondshift/policy/prefix_hints.py
+++ b/src/almondshift/policy/prefix_hints.py
@@ -31,7 +31,8 @@
 MAX_PREFIXES = 512
 MAX_PREFIX_SHARE = 0.5
 HINT_WEIGHT = 0.5
-"""Weight of the saved prompt work, because hints are often wrong."""
+"""Weight of the prompt work that a hint promises to save; less than 1, because
+hints are often wrong."""
 
 
 class _KnownCache:
--- a/src/almondshift/policy/probe_timing.py
+++ b/src/almondshift/policy/probe_timing.py
@@ -2,12 +2,12 @@
 
 Engines stop responding while high load keeps others busy. Streams over busy
 engines pause too, and each of hundreds of nodes sees only a few streams. With
-late probes, callers of the dead engines are late; with a probe at each pause,
-busy engines do little else than answer probes.
+late probes, callers wait long for streams over dead engines; with a probe at
+each pause, busy engines do little else than respond to probes.
 
 A stream counts as silent after a multiple of its usual interval between events,
 which is longer on slow accelerators. Each engine has its own exponential
-backoff: an engine that answers triggers probes less and less often, and never
+backoff: an engine that responds triggers probes less and less often, and never
 delays the probe of another one.
 """
 
@@ -26,11 +26,12 @@
 """Silence that starts a round before the first event, in seconds."""
 
 MIN_GAP_S = 0.15
-"""Minimum interval between two rounds that one engine starts, in seconds."""
+"""Minimum interval between two rounds of probes that are started because of one
+engine, in seconds."""
 
 MAX_GAP_S = 2.4
-"""Maximum interval between rounds that one engine starts, in seconds. Engines
-under load are slow, and more probes would add to their load."""
+"""Maximum interval between such rounds, in seconds. Engines under load are
+slow, and more probes would add to their load."""
 
 
 @dataclasses.dataclass(slots=True)
--- a/src/almondshift/policy/recovery.py
+++ b/src/almondshift/policy/recovery.py
@@ -2,12 +2,12 @@
 
 Stages fail in the middle of requests, one at a time or an entire availability
 zone at once. If a request were restarted, its caller would wait twice and the
-lost work would add to the load. If it were abandoned, a change of hardware
-would cost the caller its answer.
+lost work would add to the load. If it were abandoned, the caller would get no
+response because of a change of hardware.
 
 A failed stage is replaced at once if another engine holds its layers, even one
-without spare capacity, because the request has already cost its work. If there
-is none, the request waits for one for at most five seconds or half of its
+without spare capacity, because work has already been spent on the request. If
+there is none, the request waits for one for at most five seconds or half of its
 remaining time, whichever is less, and is then refused. An engine that takes
 over a range loads it within seconds.
 
--- a/src/almondshift/policy/repeat_budget.py
+++ b/src/almondshift/policy/repeat_budget.py
@@ -19,12 +19,13 @@
 import dataclasses
 
 USED_SHARE = 0.8
-"""Used share of the limit; requests spread unevenly over nodes."""
+"""Share of the limit that nodes use; the rest allows for requests that are
+spread unevenly over nodes."""
 
 FIRST_WINDOW_SHARE = 1.0 - USED_SHARE
 """Share of the allowance in a node's first window: the node may have spent the
-rest before a restart. The ratio is used as much as later, since it applies only
-to requests counted since the start."""
+rest before a restart. The ratio is applied as in later windows, since it
+concerns only requests counted since the start."""
 
 MAX_NODES_MEMORY_S = 60.0
 """Time for which the largest known number of nodes divides the allowance, in
--- a/src/almondshift/policy/shares.py
+++ b/src/almondshift/policy/shares.py
@@ -13,8 +13,9 @@
 one.
 
 While a limit is nearly used up, shares move a quarter of the way towards equal
-ones with each report. Otherwise the random shares at the start of an overload,
-and the service that each node's callers get, would persist until its end.
+ones with each report. Otherwise the shares that nodes happen to have at the
+start of an overload would persist until its end, and the callers of some nodes
+would be served worse than those of others.
 """
 
 from __future__ import annotations
--- a/src/almondshift/policy/step_timeouts.py
+++ b/src/almondshift/policy/step_timeouts.py
@@ -64,5 +64,5 @@
 
 
 def create_step_timeouts() -> StepTimeouts:
-    """Creates an empty table."""
+    """Creates timeouts without any observed calls."""
     return StepTimeouts()
