--- a/tests/policy/test_answer_times.py
+++ b/tests/policy/test_answer_times.py
@@ -44,8 +44,8 @@
     """A node is stopped during an overload and accepts a late caller.
 
     Streams took two seconds for a long time; then engines are full, and a few
-    streams take eight. The mean of all kept answers would give four seconds,
-    and one of two callers would lose its answer.
+    streams take eight. The mean of all kept durations would be four seconds,
+    and one of two callers would lose its response.
     """
     times = answer_times_of(answer_times.MAX_SAMPLES, 100, 2.0)
     for _ in range(10):
@@ -57,7 +57,7 @@
 
 
 def test_wrong_estimates_of_callers_are_allowed_for() -> None:
-    """Callers say how long an answer will be, and are often wrong.
+    """Callers' estimates of the length of a response are often wrong.
 
     One in ten streams takes three times what its caller's estimate implies.
     """
@@ -73,9 +73,9 @@
 def test_long_unfinished_answers_indicate_overload(
     running_s: float, least: float, most: float
 ) -> None:
-    """Engines are overloaded, and no answer since then has ended.
+    """Engines are overloaded, and no response has ended since then.
 
-    All complete answers took a second, and twenty have run for six. Answers
+    All complete responses took a second, and twenty have run for six. Those
     that have just begun must not count, or the estimate would be too low.
     """
     times = answer_times_of(50, 100, 1.0)
--- a/tests/policy/test_capacity_shares.py
+++ b/tests/policy/test_capacity_shares.py
@@ -77,8 +77,8 @@
     """Callers wait for a first event while most engines are nearly idle.
 
     Load: 195 nodes, 244 requests a second of 2.4 s each, 15 equal chains with
-    96 slots. Each node has three requests at a time. If each took the best
-    chain on which it has none, one chain would get 185.
+    96 slots. Each node has three requests at a time. If each node took the
+    best chain on which it has none, one chain would get 185.
     """
     rng = random.Random(1)
     view = _view()
@@ -110,7 +110,8 @@
         duration_s = rng.uniform(0.5, 1.5) * REQUEST_S
         heapq.heappush(ends, (now + duration_s, node, taken))
     assert len(running) == 15
-    # A node with many requests by chance may consider the fleet full.
+    # A node that has many requests by chance may estimate that the fleet is
+    # full.
     assert refused <= PER_S * 12 / 100
     assert most <= fleets.SPEC.slots
 
--- a/tests/policy/test_endpoint_choice.py
+++ b/tests/policy/test_endpoint_choice.py
@@ -39,7 +39,7 @@
 
 
 def test_failing_endpoint_gets_few_requests() -> None:
-    """It reports itself healthy and fails at once, so that it looks fastest."""
+    """One that fails at once but reports itself healthy looks fastest."""
     assert _bad_endpoint_share(0.05, fails=True) < 0.12
 
 
--- a/tests/policy/test_group_size.py
+++ b/tests/policy/test_group_size.py
@@ -41,7 +41,7 @@
 
 @pytest.mark.parametrize("callers", [2, 3])
 def test_simultaneous_retries_are_spread(callers: int) -> None:
-    """Callers of all nodes come back in the second in which the nodes start.
+    """Callers of all nodes retry within the second in which the nodes start.
 
     One chain of three is twice as fast. Nodes that each assumed to be alone
     sent all 146 or 219 requests to it. Its first engine has 96 slots, and the
--- a/tests/policy/test_layer_copies.py
+++ b/tests/policy/test_layer_copies.py
@@ -41,7 +41,7 @@
 def test_holders_without_an_engine_match_those_of_the_others(
     seed: int,
 ) -> None:
-    """An error would make the only holder of a layer give it up."""
+    """If they did not match, the only holder of a layer might give it up."""
     rng = random.Random(seed)
     group = []
     for index in range(rng.randint(1, 8)):
@@ -65,7 +65,7 @@
 
 
 def test_fast_engine_is_placed_where_only_slow_ones_hold_layers() -> None:
-    """The slowest layers delay all streams all the time."""
+    """Layers that only slow engines hold delay all streams all the time."""
     group = [
         _held("fast", fleets.LARGE, 0, 30),
         *(_held(f"slow{i}", fleets.SMALL, 30 + 10 * i, 40 + 10 * i)
@@ -79,7 +79,7 @@
 
 
 def test_slow_engine_copies_layers_of_the_largest_sole_holder() -> None:
-    """Callers wait longest for layers of the largest sole holder."""
+    """If the sole holder of most layers is lost, callers wait longest."""
     group = [
         _held("large", fleets.LARGE, 0, 34),
         *(_held(f"small{i}", fleets.MIDDLE, 34 + 12 * i, min(80, 46 + 12 * i))
--- a/tests/policy/test_path_refresh.py
+++ b/tests/policy/test_path_refresh.py
@@ -58,7 +58,7 @@
 def test_lost_engine_of_a_large_fleet_gets_no_request(
     searches: list[int],
 ) -> None:
-    """Cached paths would lead to a dead engine for seconds."""
+    """Cached paths would still include a lost engine for seconds."""
     chooser = small._chooser()
     view = fleet(100)
     chosen = chooser.choose(view, small.TOKENS, 0.0)
--- a/tests/policy/test_path_search.py
+++ b/tests/policy/test_path_search.py
@@ -83,7 +83,7 @@
 
 
 def test_layers_of_a_dead_engine_are_covered_by_two_others() -> None:
-    """Callers get answers although no engine holds exactly the missing range.
+    """Callers get responses although no engine holds exactly the missing range.
 
     Zone a lost layers 4 to 8; zone b holds them in two parts, split elsewhere.
     """
--- a/tests/policy/test_patterns.py
+++ b/tests/policy/test_patterns.py
@@ -53,10 +53,10 @@
     run_pattern: Callable[[patterns.Factory, int], patterns.Played],
     least: float,
 ) -> None:
-    """Under each pattern, nearly all callers get a complete answer in time.
+    """Under each pattern, nearly all callers get a complete response in time.
 
     The base load is within capacity; a burst, a fault or the end of an
-    overload is added to it. The share of complete answers before the callers'
+    overload is added to it. The share of complete responses before the callers'
     deadlines must also be at least about that of the baseline.
     """
     played = run_pattern(clusters.create_router, SEED)
@@ -71,7 +71,7 @@
 def test_overload_costs_no_goodput(times: float) -> None:
     """At two and four times the load, goodput is maintained.
 
-    The baseline dispatches everything, so that all callers get slow answers
+    The baseline dispatches everything, so that all callers get slow responses
     and most give up. The router refuses what can't be served in time.
     """
     normal = _steady(clusters.create_router, 1.0)
@@ -97,7 +97,7 @@
 
 
 def test_a_hot_account_only_delays_itself() -> None:
-    """A hot account costs the others at most 5% of their answers.
+    """A hot account costs the others at most 5% of their responses.
 
     One account of ten sends ten times its share. With the baseline, all
     accounts lose equally.
--- a/tests/policy/test_pooled_load.py
+++ b/tests/policy/test_pooled_load.py
@@ -27,7 +27,7 @@
 
 
 def test_fast_engines_get_a_larger_share() -> None:
-    """Engines that serve most requests would seem empty and be overfilled.
+    """With equal shares, fast engines would seem empty and be overfilled.
 
     Load: five copies of the layers, two on cards that are seven times as fast.
     """
--- a/tests/policy/test_probe_timing.py
+++ b/tests/policy/test_probe_timing.py
@@ -19,7 +19,7 @@
 def test_dead_engine_is_detected_before_streams_are_late(
     usual_s: float, events: int
 ) -> None:
-    """Streams of a dead engine are late although others could take over."""
+    """With late probes, streams of a dead engine are not moved in time."""
     silent_s = probe_timing.silence_limit_s(events, usual_s * (events - 1))
     found_s = silent_s + stream_moves.CHECK_INTERVAL_S
     found_s += path_probe.SECOND_QUERY_S + path_probe.QUERY_TIMEOUT_S
@@ -38,7 +38,7 @@
 def test_silence_limit_follows_the_interval_of_events(
     events: int, lasted_s: float, limit_s: float
 ) -> None:
-    """With a fixed limit, streams on slow accelerators are always probed."""
+    """With a fixed limit, slow accelerators would always be probed."""
     found_s = probe_timing.silence_limit_s(events, lasted_s)
     assert found_s == pytest.approx(limit_s)
 
@@ -47,12 +47,12 @@
 def test_probe_rate_of_all_nodes_is_bounded(
     nodes: int,
 ) -> None:
-    """Probes of silent streams would permanently load a busy engine."""
+    """Without a bound, probes of all nodes would overload a busy engine."""
     backoff = probe_timing.ProbeBackoff()
     factor = pooled_load.query_interval_factor(nodes)
     probes = 0
-    for look in range(500):
-        now = look * stream_moves.CHECK_INTERVAL_S
+    for check in range(500):
+        now = check * stream_moves.CHECK_INTERVAL_S
         if backoff.is_due(now):
             backoff.note_probe(now, factor)
             probes += 1
@@ -74,7 +74,7 @@
 def test_probe_interval_doubles_while_an_engine_answers(
     looks: list[float], probes: int
 ) -> None:
-    """Probes of many silent streams would add to a busy engine's load."""
+    """Without backoff, probes would add to the load of a busy engine."""
     backoff = probe_timing.ProbeBackoff()
     done = 0
     for now in looks:
--- a/tests/policy/test_thousands_of_engines.py
+++ b/tests/policy/test_thousands_of_engines.py
@@ -25,7 +25,7 @@
     ],
 )
 def test_search_samples_each_group(copies: int, searched: int) -> None:
-    """The search over all engines took most of a node's CPU time."""
+    """A search over all engines would take most of a node's CPU time."""
     chooser = small._chooser()
     found = chooser.candidates.find(large.fleet(copies), 0.0)
     assert len(found) == searched
@@ -61,7 +61,7 @@
 
 @pytest.mark.parametrize("others_full", [False, True])
 def test_moved_request_keeps_its_other_engines(others_full: bool) -> None:
-    """If the sample omits them, other engines must prefill its tokens again."""
+    """If the sample omits them, other engines have to prefill its tokens."""
     chooser = small._chooser()
     view = large.fleet(COPIES)
     chosen = chooser.choose(view, small.TOKENS, 0.0)
