--- a/tests/scenarios/datapath/test_execution_truth.py
+++ b/tests/scenarios/datapath/test_execution_truth.py
@@ -8,7 +8,7 @@
 from pytest_bdd import then
 from pytest_bdd import when
 
-from tests.scenarios.datapath import troubles
+from tests.scenarios.datapath import endpoint_faults
 
 if TYPE_CHECKING:
     from almondshift.adapters import http_caller
@@ -23,19 +23,19 @@
 
 @given("a plain service slip, which is not idempotent, behind a proxy")
 def start_service(world: paths.PathWorld) -> None:
-    if troubles.ENDPOINT not in world.system.plain:
+    if endpoint_faults.ENDPOINT not in world.system.plain:
         start = world.system.start_proxied_plain
-        world.run(start(troubles.SERVICE, troubles.ENDPOINT))
+        world.run(start(endpoint_faults.SERVICE, endpoint_faults.ENDPOINT))
     world.notes["before"] = count_runs(world)
 
 
 def count_runs(world: paths.PathWorld) -> int:
-    return len(world.run(world.system.ledger(troubles.ENDPOINT)))
+    return len(world.run(world.system.ledger(endpoint_faults.ENDPOINT)))
 
 
 @when(parsers.re("slip (?P<trouble>.*)"))
 def trouble(world: paths.PathWorld, trouble: str) -> None:
-    world.run(troubles.inject(world.system, trouble))
+    world.run(endpoint_faults.inject(world.system, trouble))
 
 
 @when("the link to slip and the service are healthy again")
@@ -62,7 +62,7 @@
     caller = world.run(world.system.caller())
     return world.run(
         caller.call(
-            troubles.SERVICE,
+            endpoint_faults.SERVICE,
             "/pause",
             BODY,
             idempotency_key=key,
