--- a/src/almondshift/platform/front.py
+++ b/src/almondshift/platform/front.py
@@ -142,7 +142,7 @@
         self.start_line: httputil.RequestStartLine | None = None
         self.headers: httputil.HTTPHeaders | None = None
         self.parts: list[bytes] = []
-        self.relaying: relays.ActiveRequest | None = None
+        self.active_request: relays.ActiveRequest | None = None
 
     def headers_received(
         self,
@@ -181,13 +181,13 @@
             return
         self.parts.clear()
         self.connection.set_close_callback(self.on_connection_close)
-        self.relaying = self.relay.accept(request, responder)
+        self.active_request = self.relay.accept(request, responder)
 
     def on_connection_close(self) -> None:
         """Stops the work for a caller that disconnected."""
         self.incomplete_requests.discard(self)
-        if self.relaying is not None:
-            self.relaying.caller_gone()
+        if self.active_request is not None:
+            self.active_request.caller_gone()
 
 
 class FrontDelegate(httputil.HTTPServerConnectionDelegate):
