--- a/bench/answer_parsers.py
+++ b/bench/answer_parsers.py
@@ -49,7 +49,7 @@
         connection.close()
 
 
-class Counter(http_connections.CallListener):
+class EventRequester(http_connections.CallListener):
     """Asks for the next event after each."""
 
     def __init__(self) -> None:
@@ -57,7 +57,7 @@
         self.done = asyncio.get_running_loop().create_future()
 
     def on_head(self, head: http_connections.ResponseHead) -> None:
-        """Takes the head."""
+        """Ignores the head; the first event follows it unrequested."""
 
     def on_data(self, data: bytes) -> None:
         """Asks for the next event."""
@@ -72,13 +72,13 @@
 
 
 async def read_channels(port: int) -> None:
-    """Reads a stream by our client."""
+    """Reads a stream with ``adapters/http_connections`` to its end."""
     pool = http_connections.create_connection_pool()
-    counter = Counter()
+    requester = EventRequester()
     payload = http_connections.request_bytes("POST", "/", [("Host", "h")], b"")
     address = f"127.0.0.1:{port}"
-    counter.call = pool.call(address, payload, counter, "r1")
-    outcome = await counter.done
+    requester.call = pool.call(address, payload, requester, "r1")
+    outcome = await requester.done
     assert outcome is http_connections.Outcome.WHOLE
 
 
--- a/bench/hedging.py
+++ b/bench/hedging.py
@@ -177,7 +177,7 @@
     )
     seconds = (patterns.LOAD_END_S - patterns.MEASURE_START_S) * len(SEEDS)
     return {
-        "in_time_share": round(merged.good_share(), 3),
+        "in_time_share": round(merged.share_in_time(), 3),
         "good_tokens_per_s": round(good_tokens / seconds),
         "first_token_s": results.percentiles(merged.first_token_s()),
         "whole_s": results.percentiles(merged.whole_s()),
--- a/bench/load.py
+++ b/bench/load.py
@@ -31,7 +31,7 @@
     "router": clusters.create_router,
 }
 PATTERNS: tuple[
-    tuple[str, Callable[[patterns.Factory], patterns.Played]], ...
+    tuple[str, Callable[[patterns.Factory], patterns.PatternRun]], ...
 ] = (
     ("steady 1x", lambda f: patterns.steady(f, SEED, 1.0)),
     ("steady 2x", lambda f: patterns.steady(f, SEED, 2.0)),
@@ -68,7 +68,7 @@
 TICKS = 2000
 
 
-def figures(played: patterns.Played) -> dict[str, Any]:
+def figures(played: patterns.PatternRun) -> dict[str, Any]:
     """Returns the figures of a pattern run, times in seconds."""
     part = played.results.between(played.start, played.end)
     shares = part.account_shares()
@@ -78,7 +78,7 @@
         "goodput_tokens_per_s": round(played.goodput, 1),
         "bound_tokens_per_s": round(played.bound, 1),
         "goodput_by_bound": round(played.goodput / played.bound_after, 3),
-        "in_time_share": round(part.good_share(), 4),
+        "in_time_share": round(part.share_in_time(), 4),
         "first_token_s": results.percentiles(part.first_token_s()),
         "between_tokens_s": results.percentiles(part.gaps()),
         "whole_s": results.percentiles(part.whole_s()),
@@ -147,14 +147,14 @@
     short = _short_request_p99_ratio()
     hot = patterns.hot_account(clusters.create_router, SEED, 10.0)
     part = hot.results.between(hot.start, hot.end)
-    others = part.where(lambda o: o.arrival.account != patterns.HOT_ACCOUNT)
+    others = part.select(lambda o: o.arrival.account != patterns.HOT_ACCOUNT)
     goodput_1x = router_figures("steady 1x")["goodput_tokens_per_s"]
     return {
         "goodput_4x_by_1x": (
             router_figures("steady 4x")["goodput_tokens_per_s"] / goodput_1x
         ),
         "others_in_time_beside_hot_account": (
-            others.good_share()
+            others.share_in_time()
             / router_figures("others alone")["in_time_share"]
         ),
         "short_p99_among_long_by_alone": short,
@@ -172,7 +172,7 @@
     for load in (0.0, 1.5):
         played = patterns.long_among_short(clusters.create_router, SEED, load)
         part = played.results.between(played.start, played.end)
-        short = part.where(lambda o: o.arrival.account != "drafts")
+        short = part.select(lambda o: o.arrival.account != "drafts")
         p99.append(results.percentiles(short.whole_s())[2])
     return p99[1] / p99[0]
 
--- a/bench/virtual/patterns.py
+++ b/bench/virtual/patterns.py
@@ -44,7 +44,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Played:
+class PatternRun:
     """The results of a pattern run.
 
     Attributes:
@@ -74,13 +74,13 @@
     start: float = MEASURE_START_S,
     end: float = LOAD_END_S,
     tail: float = TAIL_S,
-) -> Played:
+) -> PatternRun:
     share = bound / cluster.bound()
     played = cluster.run(end + tail)
-    return Played(name, played, bound, cluster.bound() * share, start, end)
+    return PatternRun(name, played, bound, cluster.bound() * share, start, end)
 
 
-def steady(factory: Factory, seed: int, times: float) -> Played:
+def steady(factory: Factory, seed: int, times: float) -> PatternRun:
     """Runs a steady load of ``times`` the normal one."""
     cluster = clusters.Cluster(factory, seed=seed)
     bound = cluster.bound()
@@ -91,7 +91,7 @@
     )
 
 
-def burst(factory: Factory, seed: int) -> Played:
+def burst(factory: Factory, seed: int) -> PatternRun:
     """Runs a light load and a burst of 1.5 seconds' work at the bound."""
     cluster = clusters.Cluster(factory, seed=seed)
     bound = cluster.bound()
@@ -102,7 +102,7 @@
     return _run_pattern("burst", cluster, bound)
 
 
-def hot_account(factory: Factory, seed: int, times: float) -> Played:
+def hot_account(factory: Factory, seed: int, times: float) -> PatternRun:
     """Runs ten accounts, one of which sends ``times`` its share."""
     cluster = clusters.Cluster(factory, seed=seed)
     bound = cluster.bound()
@@ -125,7 +125,7 @@
     return _run_pattern(f"hot account {times:g}x", cluster, bound)
 
 
-def hot_prefix(factory: Factory, seed: int) -> Played:
+def hot_prefix(factory: Factory, seed: int) -> PatternRun:
     """Runs a load in which most prompts share a prefix."""
     cluster = clusters.Cluster(factory, seed=seed)
     shape = loads.Shape(prompt_tokens=128, prefix=7)
@@ -142,7 +142,7 @@
 
 def slow_endpoint(
     factory: Factory, seed: int, factor: float = SLOW_FACTOR
-) -> Played:
+) -> PatternRun:
     """Runs the normal load while one engine becomes slow."""
     cluster = clusters.Cluster(factory, seed=seed)
     bound = cluster.bound()
@@ -158,7 +158,7 @@
     return _run_pattern("slow endpoint", cluster, bound, FAULT_AT_S + 2.0)
 
 
-def degraded_link(factory: Factory, seed: int) -> Played:
+def degraded_link(factory: Factory, seed: int) -> PatternRun:
     """Runs a light load while the links to one zone become slow."""
     cluster = clusters.Cluster(factory, seed=seed)
     bound = cluster.bound()
@@ -173,7 +173,9 @@
     return _run_pattern("degraded link", cluster, bound, FAULT_AT_S + 2.0)
 
 
-def long_among_short(factory: Factory, seed: int, long_load: float) -> Played:
+def long_among_short(
+    factory: Factory, seed: int, long_load: float
+) -> PatternRun:
     """Runs short requests beside a ``long_load`` share of long ones."""
     cluster = clusters.Cluster(factory, seed=seed)
     bound = cluster.bound()
@@ -192,7 +194,7 @@
     return _run_pattern("long among short", cluster, bound, tail=LONG_TAIL_S)
 
 
-def critical_among_bulk(factory: Factory, seed: int) -> Played:
+def critical_among_bulk(factory: Factory, seed: int) -> PatternRun:
     """Runs a few critical requests among bulk ones at twice the load."""
     cluster = clusters.Cluster(factory, seed=seed)
     bound = cluster.bound()
@@ -206,7 +208,7 @@
     return _run_pattern("critical among bulk", cluster, bound)
 
 
-def overload_ends(factory: Factory, seed: int) -> Played:
+def overload_ends(factory: Factory, seed: int) -> PatternRun:
     """Runs four times the normal load, then a light one."""
     cluster = clusters.Cluster(factory, seed=seed)
     bound = cluster.bound()
@@ -217,7 +219,7 @@
     return _run_pattern("overload ends", cluster, bound, OVERLOAD_END_S + 2.0)
 
 
-def lost_zone(factory: Factory, seed: int) -> Played:
+def lost_zone(factory: Factory, seed: int) -> PatternRun:
     """Runs a light load in which an availability zone is lost."""
     cluster = clusters.Cluster(factory, seed=seed)
     bound = cluster.bound()
--- a/bench/virtual/results.py
+++ b/bench/virtual/results.py
@@ -64,13 +64,13 @@
 
     outcomes: list[Outcome] = dataclasses.field(default_factory=list)
 
-    def where(self, predicate: Callable[[Outcome], bool]) -> Results:
+    def select(self, predicate: Callable[[Outcome], bool]) -> Results:
         """Returns the results that satisfy a predicate."""
         return Results([o for o in self.outcomes if predicate(o)])
 
     def between(self, start: float, end: float) -> Results:
         """Returns the results of requests first sent in ``[start, end)``."""
-        return self.where(lambda o: start <= o.sent_at < end)
+        return self.select(lambda o: start <= o.sent_at < end)
 
     def goodput(self, start: float, end: float) -> float:
         """Returns tokens per second of answers within deadline in a period."""
@@ -83,7 +83,7 @@
         )
         return tokens / (end - start)
 
-    def good_share(self) -> float:
+    def share_in_time(self) -> float:
         """Returns the share of requests answered in time."""
         if not self.outcomes:
             return 0.0
@@ -125,7 +125,7 @@
         parts: dict[str, Results] = {}
         for o in self.outcomes:
             parts.setdefault(o.arrival.account, Results()).outcomes.append(o)
-        return {name: part.good_share() for name, part in parts.items()}
+        return {name: part.share_in_time() for name, part in parts.items()}
 
 
 def percentiles(
--- a/tests/policy/test_patterns.py
+++ b/tests/policy/test_patterns.py
@@ -20,18 +20,18 @@
 
 
 @functools.cache
-def _steady(factory: patterns.Factory, times: float) -> patterns.Played:
+def _steady(factory: patterns.Factory, times: float) -> patterns.PatternRun:
     return patterns.steady(factory, SEED, times)
 
 
-def _good_share(played: patterns.Played) -> float:
+def _share_in_time(played: patterns.PatternRun) -> float:
     in_period = played.results.between(played.start, played.end)
-    return in_period.good_share()
+    return in_period.share_in_time()
 
 
-def _others(played: patterns.Played) -> results.Results:
+def _others(played: patterns.PatternRun) -> results.Results:
     in_period = played.results.between(played.start, played.end)
-    return in_period.where(lambda o: o.arrival.account != patterns.HOT_ACCOUNT)
+    return in_period.select(lambda o: o.arrival.account != patterns.HOT_ACCOUNT)
 
 
 def _p99(in_period: results.Results) -> float:
@@ -50,7 +50,7 @@
     ],
 )
 def test_callers_are_answered_in_time(
-    run_pattern: Callable[[patterns.Factory, int], patterns.Played],
+    run_pattern: Callable[[patterns.Factory, int], patterns.PatternRun],
     least: float,
 ) -> None:
     """Under each pattern, nearly all callers get a complete answer in time.
@@ -60,10 +60,11 @@
     deadlines must also be at least about that of the baseline.
     """
     played = run_pattern(clusters.create_router, SEED)
-    share = _good_share(played)
+    share = _share_in_time(played)
     assert share >= least
     assert (
-        share >= _good_share(run_pattern(clusters.create_baseline, SEED)) - 0.01
+        share
+        >= _share_in_time(run_pattern(clusters.create_baseline, SEED)) - 0.01
     )
 
 
@@ -105,9 +106,9 @@
     alone = patterns.hot_account(clusters.create_router, SEED, 0.0)
     hot = patterns.hot_account(clusters.create_router, SEED, 10.0)
     base = patterns.hot_account(clusters.create_baseline, SEED, 10.0)
-    before = _others(alone).good_share()
-    assert _others(hot).good_share() >= 0.95 * before
-    assert _others(base).good_share() < 0.6
+    before = _others(alone).share_in_time()
+    assert _others(hot).share_in_time() >= 0.95 * before
+    assert _others(base).share_in_time() < 0.6
 
 
 def test_long_jobs_do_not_hold_up_short_ones() -> None:
@@ -120,12 +121,12 @@
     def short(factory: patterns.Factory, load: float) -> results.Results:
         played = patterns.long_among_short(factory, SEED, load)
         in_period = played.results.between(played.start, played.end)
-        return in_period.where(lambda o: o.arrival.account != "drafts")
+        return in_period.select(lambda o: o.arrival.account != "drafts")
 
     alone = short(clusters.create_router, 0.0)
     among = short(clusters.create_router, 1.5)
     base = short(clusters.create_baseline, 1.5)
-    assert among.good_share() >= 0.99
+    assert among.share_in_time() >= 0.99
     assert _p99(among) <= 2.0 * _p99(alone)
     assert _p99(among) < _p99(base)
 
@@ -138,10 +139,10 @@
     """
     played = patterns.critical_among_bulk(clusters.create_router, SEED)
     in_period = played.results.between(played.start, played.end)
-    critical = in_period.where(lambda o: o.arrival.priority == 0)
-    drafts = in_period.where(lambda o: o.arrival.priority == 2)
-    assert critical.good_share() >= 0.99
-    assert drafts.good_share() >= 0.4
+    critical = in_period.select(lambda o: o.arrival.priority == 0)
+    drafts = in_period.select(lambda o: o.arrival.priority == 2)
+    assert critical.share_in_time() >= 0.99
+    assert drafts.share_in_time() >= 0.4
 
 
 def test_a_slow_endpoint_only_costs_its_own_throughput() -> None:
