--- a/bench/answer_parsers.py
+++ b/bench/answer_parsers.py
@@ -43,14 +43,15 @@
         connection.sendall(HEAD)
         for _ in range(EVENTS):
             connection.sendall(CHUNK)
-            # Wait for the reader, so that it reads each event separately.
+            # Wait for the byte that requests the next event, so that the
+            # client reads each event separately.
             connection.recv(1)
         connection.sendall(b"0\r\n\r\n")
         connection.close()
 
 
 class EventRequester(http_connections.CallListener):
-    """Asks for the next event after each."""
+    """Requests another event for each part of the body received."""
 
     def __init__(self) -> None:
         self.call: http_connections.Call | None = None
@@ -71,7 +72,7 @@
         self.done.set_result(outcome)
 
 
-async def read_channels(port: int) -> None:
+async def read_http_connections(port: int) -> None:
     """Reads a stream with ``adapters/http_connections`` to its end."""
     pool = http_connections.create_connection_pool()
     requester = EventRequester()
@@ -83,7 +84,7 @@
 
 
 class H11Protocol(asyncio.Protocol):
-    """Reads a stream with ``h11``; asks for the next event after each."""
+    """Reads a stream with ``h11``; requests another event for each part."""
 
     def __init__(self) -> None:
         self.connection = h11.Connection(our_role=h11.CLIENT)
@@ -123,7 +124,7 @@
 
 
 class TornadoRequester(httputil.HTTPMessageDelegate):
-    """Asks for the next event after each."""
+    """Requests another event for each part of the body received."""
 
     def __init__(self, stream: iostream.IOStream) -> None:
         self.stream = stream
@@ -156,7 +157,7 @@
     sender.start()
     try:
         for name, read in (
-            ("httptools over asyncio", read_channels),
+            ("httptools over asyncio", read_http_connections),
             ("h11 over asyncio", read_h11),
             ("tornado's connection", read_tornado),
         ):
--- a/bench/coordination.py
+++ b/bench/coordination.py
@@ -67,29 +67,29 @@
 
 
 async def _claim_and_finish(
-    node: claims.Claims, key: str, outcome: ClaimResults
+    node: claims.Claims, key: str, results: ClaimResults
 ) -> None:
     began = CLOCK.monotonic()
     result = await node.claim("a", "s", key, b"body", began + TIMEOUT_S)
     if result.is_error() or not isinstance(result.ok, claims.Claimed):
-        outcome.failed += 1
+        results.failed += 1
         return
-    outcome.latencies_s.append(CLOCK.monotonic() - began)
+    results.latencies_s.append(CLOCK.monotonic() - began)
     await node.finish(result.ok, RESULT)
-    outcome.finished += 1
+    results.finished += 1
 
 
 async def _run_claims(node: claims.Claims, load: Load) -> ClaimResults:
-    outcome = ClaimResults()
+    results = ClaimResults()
     began = CLOCK.monotonic()
     tasks = []
     for number in range(int(load.rate * load.seconds)):
         due = began + number / load.rate
         await CLOCK.sleep(max(0.0, due - CLOCK.monotonic()))
-        claim = _claim_and_finish(node, f"k{number}", outcome)
+        claim = _claim_and_finish(node, f"k{number}", results)
         tasks.append(asyncio.create_task(claim))
     await asyncio.gather(*tasks)
-    return outcome
+    return results
 
 
 async def measure_claims(
@@ -108,10 +108,10 @@
     node = claims.create_claims(
         wrap(table), objects, CLOCK, random.Random(1), "n", _ask_claimant
     )
-    outcome = await _run_claims(node, load)
+    results = await _run_claims(node, load)
     counts = platform.state.counters.current()
-    done = max(1, outcome.finished)
-    latencies = sorted(outcome.latencies_s) or [0.0]
+    done = max(1, results.finished)
+    latencies = sorted(results.latencies_s) or [0.0]
     p99 = latencies[int(0.99 * (len(latencies) - 1))]
     print(
         f"{label:9} {load.rate:5.0f} claims/s: "
@@ -119,7 +119,7 @@
         f"reads a claim; peak {counts.peak_writes_per_s:4d} writes/s; "
         f"claimed in p50 {statistics.median(latencies) * 1000:6.1f} "
         f"p99 {p99 * 1000:6.1f} ms; "
-        f"{outcome.finished} finished, {outcome.failed} failed"
+        f"{results.finished} finished, {results.failed} failed"
     )
     await table.close()
     await objects.close()
@@ -129,12 +129,12 @@
 async def _measure_steady_rates(
     platform: server.PlatformServer,
     label: str,
-    parts: Sequence[versioned_config.VersionedConfig[str] | lease.Lease],
+    components: Sequence[versioned_config.VersionedConfig[str] | lease.Lease],
     seconds: float,
 ) -> None:
     """Prints request rates in steady state, after the warm-up."""
-    for part in parts:
-        await part.start()
+    for component in components:
+        await component.start()
     await CLOCK.sleep(WARM_UP_S)
     counts = platform.state.counters.current()
     reads, writes = counts.reads, counts.writes
@@ -142,12 +142,12 @@
     counts = platform.state.counters.current()
     reads, writes = counts.reads - reads, counts.writes - writes
     print(
-        f"{label:9} {len(parts)} nodes: "
-        f"{reads / seconds / len(parts):5.2f} reads/s a node, "
+        f"{label:9} {len(components)} nodes: "
+        f"{reads / seconds / len(components):5.2f} reads/s a node, "
         f"{writes / seconds:5.2f} writes/s in all"
     )
-    for part in parts:
-        await part.close()
+    for component in components:
+        await component.close()
 
 
 async def measure_polls(nodes: int, seconds: float) -> None:
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -5,10 +5,11 @@
 
 Processor time of one process, without sockets: choosing paths, forwarding
 stream events, checking streams for silence, processing registry rows, handling
-the loss of an engine and planning layers. The engines are of three kinds, as
-one fleet publishes them, and are placed by repeated plans until a plan has no
-orders. Each figure is the median of several repetitions, and the minimum over
-several rounds, as a busy machine makes a round up to twice as long.
+the loss of an engine and planning layers. The engines are of three kinds, with
+the figures that one fleet publishes, and are placed by repeated plans until a
+plan has no orders. Each figure is the median of several repetitions within a
+round, and the minimum of these medians over several rounds, because a round
+takes up to twice as long on a busy machine.
 """
 
 from __future__ import annotations
@@ -60,7 +61,7 @@
     "b": (43_200.0, 5.6),
     "c": (21_600.0, 16.0),
 }
-"""Memory in MB and step factor by kind, as one fleet publishes them."""
+"""Memory in MB and step factor by kind; figures that one fleet publishes."""
 
 KIND_SHARES = (("a", 0.1), ("b", 0.35), ("c", 0.55))
 """Share of each kind among the engines."""
@@ -75,8 +76,8 @@
 FAULTS = 8
 PLANS = 3
 US, MS = 1e6, 1e3
-FAR = -1e9
-"""Time of the last store outage, long past."""
+LAST_OUTAGE_END = -1e9
+"""End of the last store outage, long before the measurement."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -116,7 +117,7 @@
         """Does nothing."""
 
     def abort(self) -> None:
-        """Ends nothing."""
+        """Does nothing."""
 
     def fail(self, error: Exception) -> None:
         """Discards an error."""
@@ -228,7 +229,7 @@
 
 
 class MeasuredNode:
-    """The decision components of one node, over a placed fleet."""
+    """The decision components of one node, for engines that hold layers."""
 
     def __init__(self, size: Size) -> None:
         self.size = size
@@ -245,7 +246,7 @@
             self.tracker, random.Random(1)
         )
         self.paths.nodes = size.nodes
-        seen = observer.create_relay_observer()
+        relay_observer = observer.create_relay_observer()
         self.shared = context.RelayContext(
             zone="z0",
             clock=self.clock,
@@ -262,10 +263,10 @@
                 note_broken=lambda *v: None, is_refused=lambda *v: False
             )),
             lost=lost_engines.create_lost_engines(
-                self.clock, self.known, self.tracker, seen
+                self.clock, self.known, self.tracker, relay_observer
             ),
             refusing=cast("Any", None),
-            observer=seen,
+            observer=relay_observer,
             times=answer_times.create_answer_times(),
             first_waits=first_event_wait.create_first_event_wait(),
             drain=drain.NodeDrain(self.clock),
@@ -296,7 +297,9 @@
         row = row_feeds.FeedRow(
             engine.instance, engine_row(engine, number, state), self.revision
         )
-        self.known.apply_engine_row(row, self.clock.monotonic(), FAR)
+        self.known.apply_engine_row(
+            row, self.clock.monotonic(), LAST_OUTAGE_END
+        )
 
     def choose(self) -> path_choice.ChosenPath:
         """Chooses a path for a request."""
@@ -350,18 +353,18 @@
 
 
 def per_arrival(node: MeasuredNode) -> dict[str, float]:
-    """Measures the choice of a path, with and without cached paths."""
+    """Measures the choice of a path from the cache, and by a new search."""
     node.choose()
-    kept = []
+    choices = []
     for _ in range(ARRIVALS):
         node.paths.cached[SERVICE].searched_at = node.clock.monotonic()
-        kept.append(timed(node.choose))
+        choices.append(timed(node.choose))
     searches = []
     for _ in range(SEARCHES):
         node.paths.cached.clear()
         searches.append(timed(node.choose))
     return {
-        "arrival_us": statistics.median(kept) * US,
+        "arrival_us": statistics.median(choices) * US,
         "search_ms": statistics.median(searches) * MS,
     }
 
@@ -376,22 +379,25 @@
         for run in streams:
             assert run.attempt is not None
             costs.append(timed(lambda a=run.attempt, e=event: a.on_data(e)))  # type: ignore[misc]
-    looks = []
+    checks = []
     for _ in range(SILENCE_CHECKS):
         now = asyncio.get_running_loop().time()
         for run in streams:
             assert run.attempt is not None
             run.attempt.active_at = now
         node.watch.next_engine_check_at = 0.0
-        looks.append(timed(node.watch.check_all))
+        checks.append(timed(node.watch.check_all))
     return {
         "event_us": statistics.median(costs) * US,
-        "look_us": statistics.median(looks) * US,
+        "look_us": statistics.median(checks) * US,
     }
 
 
 def per_change(node: MeasuredNode) -> dict[str, float]:
-    """Measures rows without a change, and a state change of one engine."""
+    """Measures registry rows without a change, and choices after a change.
+
+    The change is that of an engine's state; processing its row is not timed.
+    """
     count = len(node.engines)
     unchanged = [timed(lambda n=n: node.update_engine(n)) for n in range(count)]  # type: ignore[misc]
     changed = []
--- a/bench/exchange.py
+++ b/bench/exchange.py
@@ -89,7 +89,13 @@
 
 @dataclasses.dataclass(slots=True)
 class Traffic:
-    """Traffic over the transport, and time spent outside of the exchange."""
+    """Traffic over the transport, and parts of the processor time.
+
+    Attributes:
+        content_bytes: Size of the encoded messages, without headers.
+        codec_s: Processor time to encode and decode the messages.
+        bench_s: Processor time of the benchmark itself, not counted as a cost.
+    """
 
     messages: int = 0
     content_bytes: int = 0
@@ -259,7 +265,7 @@
         self.instances = dict.fromkeys(self.names, 1)
         self.nodes: list[membership.Membership] = []
         self.exchanges: list[load_exchange.LoadExchange] = []
-        self.held: list[HeldLoadDirectory] = []
+        self.directories: list[HeldLoadDirectory] = []
 
     async def seeds(self) -> list[str]:
         """Returns the addresses of two nodes."""
@@ -288,17 +294,17 @@
 
     def add_exchange(self, node: membership.Membership) -> None:
         """Creates the load exchange of a node."""
-        held = HeldLoadDirectory(self.clock, self.names)
+        node_directory = HeldLoadDirectory(self.clock, self.names)
         exchange = load_exchange.create_load_exchange(
             node,
-            held,
+            node_directory,
             router_driver.create_router_driver(IdleRouter(), self.clock),
             usage.create_usage(),
             self.clock,
             random.Random(self.rng.random()),
         )
         exchange.listen()
-        self.held.append(held)
+        self.directories.append(node_directory)
         self.exchanges.append(exchange)
 
     async def run_round(self, number: int) -> None:
@@ -329,7 +335,7 @@
         exchange = self.exchanges[index]
         watches = {name for name in self.names if exchange.watches(name)}
         started = time.process_time()
-        self.held[index].read(reports, watches)
+        self.directories[index].read(reports, watches)
         self.record_usage(exchange.meter, index)
         self.traffic.bench_s += time.process_time() - started
         exchange.publish()
@@ -383,7 +389,9 @@
     wire_bytes_s = 2 * system.traffic.wire_bytes / node_seconds
     now = system.clock.now
     ages = sorted(
-        now - at for held in system.held for at in held.read_at.values()
+        now - at
+        for node_directory in system.directories
+        for at in node_directory.read_at.values()
     )
     pairs = size * system.engines
     return Cost(
--- a/bench/hedging.py
+++ b/bench/hedging.py
@@ -49,11 +49,20 @@
     Hedge(0.3, 0.1, 2),
     Hedge(0.6, 0.2, 2),
 )
-"""None, the example of the paper, and two that send fewer copies."""
+"""No hedging, the paper's example, and two settings with fewer copies."""
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class _Copies:
+    """The copies of one request.
+
+    Attributes:
+        running: Node of each copy in flight, by the copy's request id.
+        sent: Number of copies sent.
+        settled: Whether a copy gave the first token or none is left; no
+            further copies are sent then.
+    """
+
     outcome: results.Outcome
     running: dict[str, nodes.VirtualNode] = dataclasses.field(
         default_factory=dict
@@ -126,11 +135,11 @@
 
 
 def _steady(times: float) -> Callable[[HedgingCluster, random.Random], None]:
-    def play(cluster: HedgingCluster, rng: random.Random) -> None:
+    def add_load(cluster: HedgingCluster, rng: random.Random) -> None:
         rate = cluster.bound() * patterns.NORMAL_LOAD * times
         loads.steady(cluster, rng, rate, 0.0, patterns.LOAD_END_S)
 
-    return play
+    return add_load
 
 
 def _slow_endpoint(cluster: HedgingCluster, rng: random.Random) -> None:
@@ -168,8 +177,10 @@
         cluster = HedgingCluster(clusters.create_router, seed=seed)
         cluster.hedge = hedge
         PATTERNS[name](cluster, random.Random(seed))
-        played = cluster.run(patterns.LOAD_END_S + patterns.TAIL_S)
-        part = played.between(patterns.MEASURE_START_S, patterns.LOAD_END_S)
+        cluster_results = cluster.run(patterns.LOAD_END_S + patterns.TAIL_S)
+        part = cluster_results.between(
+            patterns.MEASURE_START_S, patterns.LOAD_END_S
+        )
         merged.outcomes += part.outcomes
         extra_sent += cluster.extra_sent
     good_tokens = sum(
--- a/bench/load.py
+++ b/bench/load.py
@@ -62,22 +62,23 @@
     ("<50ms", 6),
     ("retries", 7),
 )
+"""Columns of the table: heading and width."""
 SIZES = ((8, 30, 10), (80, 270, 300), (390, 820, 1700))
 """Peers, engines and accounts."""
 ARRIVALS = 2000
 TICKS = 2000
 
 
-def figures(played: patterns.PatternRun) -> dict[str, Any]:
+def figures(run: patterns.PatternRun) -> dict[str, Any]:
     """Returns the figures of a pattern run, times in seconds."""
-    part = played.results.between(played.start, played.end)
+    part = run.results.between(run.start, run.end)
     shares = part.account_shares()
     refusals = part.refusals()
-    prompt = [s for s in refusals if s <= results.PROMPT_REFUSAL_S]
+    prompt_refusals = [s for s in refusals if s <= results.PROMPT_REFUSAL_S]
     return {
-        "goodput_tokens_per_s": round(played.goodput, 1),
-        "bound_tokens_per_s": round(played.bound, 1),
-        "goodput_by_bound": round(played.goodput / played.bound_after, 3),
+        "goodput_tokens_per_s": round(run.goodput, 1),
+        "bound_tokens_per_s": round(run.bound, 1),
+        "goodput_by_bound": round(run.goodput / run.bound_after, 3),
         "in_time_share": round(part.share_in_time(), 4),
         "first_token_s": results.percentiles(part.first_token_s()),
         "between_tokens_s": results.percentiles(part.gaps()),
@@ -86,7 +87,7 @@
         "best_account_share": round(max(shares.values()), 3),
         "refusals": len(refusals),
         "refusals_within_50_ms": (
-            round(len(prompt) / len(refusals), 3) if refusals else None
+            round(len(prompt_refusals) / len(refusals), 3) if refusals else None
         ),
         "retries_per_request": round(part.retries(), 3),
         "stages_replaced": sum(o.stages_replaced for o in part.outcomes),
@@ -97,7 +98,7 @@
     def format_percentiles(values: list[float]) -> str:
         return "/".join(f"{value:.3f}" for value in values)
 
-    prompt = found["refusals_within_50_ms"]
+    prompt_share = found["refusals_within_50_ms"]
     worst, best = found["worst_account_share"], found["best_account_share"]
     cells = (
         name,
@@ -110,7 +111,7 @@
         f"{found['whole_s'][2]:.2f}",
         f"{worst:.2f}/{best:.2f}",
         str(found["refusals"]),
-        "-" if prompt is None else f"{prompt:.2f}",
+        "-" if prompt_share is None else f"{prompt_share:.2f}",
         f"{found['retries_per_request']:.2f}",
     )
     return _format_line(cells)
@@ -125,10 +126,10 @@
     """Runs every pattern, prints the table and returns its figures."""
     print(_format_line(tuple(heading for heading, _ in HEADINGS)))
     found: dict[str, dict[str, dict[str, Any]]] = {}
-    for name, play in PATTERNS:
+    for name, run_pattern in PATTERNS:
         found[name] = {}
         for router_name, factory in ROUTERS.items():
-            found[name][router_name] = figures(play(factory))
+            found[name][router_name] = figures(run_pattern(factory))
             print(
                 _format_row(name, router_name, found[name][router_name]),
                 flush=True,
@@ -170,8 +171,8 @@
 def _short_request_p99_ratio() -> float:
     p99 = []
     for load in (0.0, 1.5):
-        played = patterns.long_among_short(clusters.create_router, SEED, load)
-        part = played.results.between(played.start, played.end)
+        run = patterns.long_among_short(clusters.create_router, SEED, load)
+        part = run.results.between(run.start, run.end)
         short = part.select(lambda o: o.arrival.account != "drafts")
         p99.append(results.percentiles(short.whole_s())[2])
     return p99[1] / p99[0]
@@ -316,12 +317,12 @@
 
 def main() -> dict[str, Any]:
     """Runs the patterns and measures costs; returns all figures."""
-    played = run_patterns()
-    values = target_values(played)
+    pattern_figures = run_patterns()
+    values = target_values(pattern_figures)
     for name, value in values.items():
         print(f"{name}: {value:.3f}")
     return {
-        "patterns": played,
+        "patterns": pattern_figures,
         "targets": values,
         "costs": measure_costs(),
     }
--- a/bench/objective_counts.py
+++ b/bench/objective_counts.py
@@ -43,7 +43,11 @@
 def fill_buckets(
     clock: ManualClock, counts: objectives.ObjectiveCounts
 ) -> None:
-    """Fills every bucket with more keys than it can hold."""
+    """Fills every bucket with more keys than it can hold.
+
+    Fine buckets older than an hour are dropped, so that before the last hours
+    one minute per hour is enough: it fills the coarse bucket.
+    """
     for hour in range(HOURS):
         for minute in range(MINUTES):
             clock.now += objectives.FINE_BUCKET_S
--- a/bench/throughput.py
+++ b/bench/throughput.py
@@ -181,6 +181,7 @@
 
 def _process_cpu_s(pid: int) -> float:
     fields = pathlib.Path(f"/proc/{pid}/stat").read_text().split()
+    # utime and stime, in clock ticks of 1/100 s.
     ticks = int(fields[13]) + int(fields[14])
     return ticks / 100
 
--- a/bench/virtual/patterns.py
+++ b/bench/virtual/patterns.py
@@ -76,8 +76,10 @@
     tail: float = TAIL_S,
 ) -> PatternRun:
     share = bound / cluster.bound()
-    played = cluster.run(end + tail)
-    return PatternRun(name, played, bound, cluster.bound() * share, start, end)
+    run_results = cluster.run(end + tail)
+    return PatternRun(
+        name, run_results, bound, cluster.bound() * share, start, end
+    )
 
 
 def steady(factory: Factory, seed: int, times: float) -> PatternRun:
--- a/bench/watching.py
+++ b/bench/watching.py
@@ -99,25 +99,25 @@
 
 def make_membership(nodes: int) -> memberships.Membership:
     """Returns a membership with ``nodes`` nodes, all of them alive."""
-    found = exchange.System(nodes)
+    system = exchange.System(nodes)
     link = exchange.CodecLink({}, "node-0:1", exchange.Traffic())
     identity = peer_types.NodeIdentity("node-0", "node-0:1", "", "zone")
-    made = memberships.create_membership(
-        link, CLOCK, random.Random(1), identity, found.seeds
+    membership = memberships.create_membership(
+        link, CLOCK, random.Random(1), identity, system.seeds
     )
-    made.settings = dataclasses.replace(
-        made.settings, suspect_after_heartbeats=10_000
+    membership.settings = dataclasses.replace(
+        membership.settings, suspect_after_heartbeats=10_000
     )
-    made.join()
+    membership.join()
     for number in range(1, nodes):
         value = peer_types.NodeValue(peer="p:1", entry="e:1", zone="zone")
-        made.publish(
+        membership.publish(
             exchange.peers.FactKind.NODE,
             f"node-{number}",
             value.model_dump_json().encode(),
             600.0,
         )
-    return made
+    return membership
 
 
 async def measure(nodes: int, count: int) -> None:
@@ -125,7 +125,7 @@
     membership = make_membership(nodes)
     driver = router_driver.create_router_driver(exchange.IdleRouter(), CLOCK)
     factory = InstantEngines()
-    known = directory.Directory(
+    node_directory = directory.Directory(
         StaticVmList([exchange.make_vm(f"engine-{n}") for n in range(count)]),
         factory,
         driver,
@@ -135,24 +135,29 @@
         random.Random(1),
         directory.DirectorySettings(),
     )
-    shared = load_exchange.create_load_exchange(
-        membership, known, driver, driver.usage, CLOCK, random.Random(1)
+    node_exchange = load_exchange.create_load_exchange(
+        membership,
+        node_directory,
+        driver,
+        driver.usage,
+        CLOCK,
+        random.Random(1),
     )
-    known.watches = shared.watches
-    await known.start()
+    node_directory.watches = node_exchange.watches
+    await node_directory.start()
     await asyncio.sleep(WARM_UP_S)
     requested, started = factory.load_requests, time.process_time()
     await asyncio.sleep(MEASURE_S)
     share = (time.process_time() - started) / MEASURE_S
     requested = factory.load_requests - requested
-    watched = sum(e.watched for e in known.endpoints.values())
+    watched = sum(e.watched for e in node_directory.endpoints.values())
     print(
         f"{nodes} nodes, {count} engines: {watched} watched, "
         f"{requested / MEASURE_S:.0f} reports requested per second, "
         f"{100 * share:.2f}% of a core without the calls",
         flush=True,
     )
-    await known.close()
+    await node_directory.close()
 
 
 async def measure_sizes() -> None:
--- a/tests/policy/test_patterns.py
+++ b/tests/policy/test_patterns.py
@@ -24,13 +24,13 @@
     return patterns.steady(factory, SEED, times)
 
 
-def _share_in_time(played: patterns.PatternRun) -> float:
-    in_period = played.results.between(played.start, played.end)
+def _share_in_time(run: patterns.PatternRun) -> float:
+    in_period = run.results.between(run.start, run.end)
     return in_period.share_in_time()
 
 
-def _others(played: patterns.PatternRun) -> results.Results:
-    in_period = played.results.between(played.start, played.end)
+def _others(run: patterns.PatternRun) -> results.Results:
+    in_period = run.results.between(run.start, run.end)
     return in_period.select(lambda o: o.arrival.account != patterns.HOT_ACCOUNT)
 
 
@@ -59,8 +59,8 @@
     overload is added to it. The share of complete answers before the callers'
     deadlines must also be at least about that of the baseline.
     """
-    played = run_pattern(clusters.create_router, SEED)
-    share = _share_in_time(played)
+    run = run_pattern(clusters.create_router, SEED)
+    share = _share_in_time(run)
     assert share >= least
     assert (
         share
@@ -119,8 +119,8 @@
     """
 
     def short(factory: patterns.Factory, load: float) -> results.Results:
-        played = patterns.long_among_short(factory, SEED, load)
-        in_period = played.results.between(played.start, played.end)
+        run = patterns.long_among_short(factory, SEED, load)
+        in_period = run.results.between(run.start, run.end)
         return in_period.select(lambda o: o.arrival.account != "drafts")
 
     alone = short(clusters.create_router, 0.0)
@@ -137,8 +137,8 @@
     Drafts arrive at twice the load. Critical requests (pause notices) are
     answered in time, and drafts still get the remaining capacity.
     """
-    played = patterns.critical_among_bulk(clusters.create_router, SEED)
-    in_period = played.results.between(played.start, played.end)
+    run = patterns.critical_among_bulk(clusters.create_router, SEED)
+    in_period = run.results.between(run.start, run.end)
     critical = in_period.select(lambda o: o.arrival.priority == 0)
     drafts = in_period.select(lambda o: o.arrival.priority == 2)
     assert critical.share_in_time() >= 0.99
