--- a/src/almondshift/coordination/claim_attempts.py
+++ b/src/almondshift/coordination/claim_attempts.py
@@ -7,7 +7,7 @@
 
 
 class ClaimantAnswer(enum.StrEnum):
-    """A claimant's answer to a query about one of its attempts.
+    """A claimant's reply to a query about one of its attempts.
 
     ``ABANDONED`` means that the attempt was not dispatched and never will be.
     ``UNKNOWN`` is also used if the claimant can't be reached.
@@ -21,8 +21,8 @@
 class Attempts:
     """Attempts of this process; the oldest abandoned ones are evicted.
 
-    After a restart or an eviction the answer is ``UNKNOWN``: the process
-    can't tell whether the attempt was dispatched, and a second run can't be
+    After a restart or an eviction the reply is ``UNKNOWN``: the process no
+    longer knows whether the attempt was dispatched, and a second run can't be
     undone.
     """
 
@@ -44,11 +44,11 @@
             self.abandoned.popitem(last=False)
 
     def end(self, attempt: str) -> None:
-        """Removes an attempt whose result is stored."""
+        """Removes an attempt whose result is stored or was dropped."""
         self.live.discard(attempt)
 
     def answer(self, attempt: str) -> ClaimantAnswer:
-        """Answers a peer's query about an attempt."""
+        """Returns the reply to a peer's query about an attempt."""
         if attempt in self.live:
             return ClaimantAnswer.RUNNING
         if attempt in self.abandoned:
--- a/src/almondshift/coordination/claim_results.py
+++ b/src/almondshift/coordination/claim_results.py
@@ -23,8 +23,8 @@
 
     Attributes:
         max_inline_bytes: Larger results go to the object store.
-        max_pending: Most results kept in memory while the store is
-            unavailable.
+        max_pending: Maximum number of results kept in memory while the store
+            is unavailable.
         write_attempts: Write attempts before a result is left to ``flush``.
         write_backoff_s: Seconds before the next attempt; doubles each time.
     """
@@ -108,7 +108,7 @@
     async def _save_or_drop(
         self, pending: PendingResult
     ) -> expression.Result[None, errors.AlmondshiftError]:
-        """Saves; drops the result once stored or if retrying is pointless."""
+        """Saves a result; drops it once it is stored or its claim changed."""
         saved = await self._save(pending)
         if saved.is_ok() or isinstance(saved.error, errors.ConditionFailed):
             self._remove_pending(pending)
--- a/src/almondshift/coordination/claim_rows.py
+++ b/src/almondshift/coordination/claim_rows.py
@@ -57,7 +57,7 @@
         fingerprint: Digest of the request's body.
         claimant: Node that may dispatch the request.
         attempt: Random id of the attempt that may dispatch it.
-        expires_at: Wall time in seconds until which retries are answered.
+        expires_at: Wall time in seconds until which retries get the result.
         result: Set once the request has finished.
     """
 
@@ -100,9 +100,9 @@
         claim: The claim.
         last: Whether the claim is deleted at that time even if unfinished.
     """
-    place = expiry_key(claim.expires_at, claim.attempt)
+    row_key = expiry_key(claim.expires_at, claim.attempt)
     value = {"claim": key, "attempt": claim.attempt, "last": last}
-    return stores.Write(EXPIRY_TABLE, place, value, None)
+    return stores.Write(EXPIRY_TABLE, row_key, value, None)
 
 
 def parse_claim(row: stores.Row) -> ClaimRow:
--- a/src/almondshift/coordination/claims.py
+++ b/src/almondshift/coordination/claims.py
@@ -3,7 +3,7 @@
 Before a request is dispatched, its key is claimed by a conditional insert.
 Only the attempt that holds the claim is dispatched; retries get the stored
 result, wait for it, or get an error that the outcome is unknown. A claim is
-taken over only if its claimant itself answers that it never dispatched.
+taken over only if its claimant replies that it will never dispatch it.
 """
 
 from __future__ import annotations
@@ -37,13 +37,16 @@
 
     Attributes:
         retention_s: Seconds for which a key is kept; callers are told this.
-        unfinished_retention_s: Further seconds for claims without a result.
+        unfinished_retention_s: Additional seconds for which a claim without a
+            result is kept.
         write_attempts: Attempts to resolve a write of unknown outcome.
         write_backoff_s: Seconds before the next attempt; doubles each time.
-        poll_s: Seconds before a running claim is read again; doubles.
-        max_poll_s: Longest time between these reads.
+        poll_s: Seconds before a running claim is read again; doubles each
+            time.
+        max_poll_s: Maximum seconds between these reads.
         flush_s: Seconds between attempts to store pending results.
-        max_abandoned: Most abandoned attempts kept to answer peers.
+        max_abandoned: Maximum number of abandoned attempts kept to answer
+            queries from peers.
         results: Limits for stored results.
     """
 
@@ -133,7 +136,7 @@
         self.flush_task = asyncio.create_task(self._flush_loop())
 
     async def close(self) -> None:
-        """Stops that task and tries once more to store pending results."""
+        """Stops the flush task and tries once more to store the results."""
         if self.flush_task is not None:
             self.flush_task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
@@ -205,10 +208,10 @@
     async def release_not_run(
         self, claimed: Claimed
     ) -> expression.Result[None, errors.AlmondshiftError]:
-        """Releases a claim; only if the endpoint definitely ran nothing.
+        """Releases a claim; call only if the endpoint definitely ran nothing.
 
         Even if the write fails, another node can take over the claim, since
-        this node answers from now on that it abandoned the attempt.
+        this node replies from now on that it abandoned the attempt.
         """
         self.attempts.abandon(claimed.row.attempt)
         row = dataclasses.replace(
@@ -221,7 +224,7 @@
         return expression.Ok(None)
 
     def answer_claimant(self, attempt: str) -> claim_attempts.ClaimantAnswer:
-        """Answers a peer's query about an attempt of this node."""
+        """Returns the reply to a peer's query about an attempt of this node."""
         return self.attempts.answer(attempt)
 
     async def flush(self) -> None:
@@ -232,8 +235,9 @@
         """Makes the attempt, and abandons it unless it holds the claim.
 
         The attempt is registered before its insert is sent, so that no peer
-        is told ``abandoned`` of one that may still be dispatched. On every
-        other exit path, including cancellation, it is marked abandoned.
+        is told ``abandoned`` of one that may still be dispatched. Unless the
+        result is ``Claimed``, it is marked abandoned on every exit path,
+        including cancellation.
         """
         self.attempts.begin(claim.row.attempt)
         result: ClaimResult | None = None
@@ -282,9 +286,9 @@
     ) -> Decision:
         """Asks the claimant about a claim that has no result yet.
 
-        Taking over because the claimant does not answer would run the
+        Taking over because the claimant does not reply would run the
         request twice if the claimant is only slow. The claim is taken over
-        only if the claimant answers that it will never dispatch, by a write
+        only if the claimant replies that it will never dispatch, by a write
         that is conditional on the revision read before.
         """
         claim.saw_other_attempt = True
@@ -293,11 +297,11 @@
             return expression.Ok(Finished(pending.result))
         if claim.unanswered_revision == revision:
             return expression.Error(_claimant_unknown(row))
-        answer = await self._ask_claimant(row)
-        if answer is claim_attempts.ClaimantAnswer.ABANDONED:
+        reply = await self._ask_claimant(row)
+        if reply is claim_attempts.ClaimantAnswer.ABANDONED:
             claim.saw_other_attempt = False
             return await self._write_claim(claim, revision)
-        if answer is claim_attempts.ClaimantAnswer.RUNNING:
+        if reply is claim_attempts.ClaimantAnswer.RUNNING:
             claim.delay_s = self._next_poll_delay(claim.delay_s)
             return None
         claim.unanswered_revision = revision
@@ -314,9 +318,9 @@
     async def _write_claim(self, claim: Claim, revision: int) -> Decision:
         """Writes the claim, conditional on a revision; None to read again.
 
-        The answer may be lost after the write took effect. Reading again
-        finds this attempt in the row, or leads to another write from the
-        revision found; since it is conditional, a second write is harmless.
+        The response may be lost after the write took effect. Reading again
+        finds this attempt in the row, or leads to another write, conditional
+        on the revision found. A second write is harmless for that reason.
         """
         writes = [
             claim_rows.claim_write(claim.key, claim.row, revision),
@@ -434,10 +438,10 @@
         store: Table store for the claims, usually a ``GroupedTableStore``.
         objects: Object store for large results.
         clock: Monotonic time for deadlines, wall time for expiry.
-        rng: Generates attempt ids; must differ between processes.
+        rng: Generates attempt ids; its seed must differ between processes.
         node: Name of this node, by which peers' ``ask`` reaches it.
         ask: Called with a node and an attempt; asks that node about the
-            attempt. ``UNKNOWN`` if it can't be reached in time.
+            attempt, and returns ``UNKNOWN`` if it can't be reached in time.
         settings: None for the defaults.
     """
     return Claims(
--- a/src/almondshift/coordination/config_rows.py
+++ b/src/almondshift/coordination/config_rows.py
@@ -2,8 +2,8 @@
 
 Each change writes three rows in one transaction: the head points to the
 newest version, a version row holds the text, and a change row maps the change
-id to its version, so that the outcome of a write whose answer was lost can be
-read.
+id to its version. If the response to a write was lost, the change row shows
+whether it took effect.
 """
 
 from __future__ import annotations
--- a/src/almondshift/coordination/drafts.py
+++ b/src/almondshift/coordination/drafts.py
@@ -17,11 +17,11 @@
 DIGEST_OVERHEAD_BYTES = 16
 FACT_OVERHEAD_BYTES = 30
 MESSAGE_OVERHEAD_BYTES = 64
-"""Encoding overhead besides keys, origins and values; above what
-bench/exchange measured."""
+"""Encoding overhead of a digest, a fact and a message, without keys, origins
+and values; set higher than bench/exchange measured."""
 
 MAX_DIGESTS = 100
-"""Most rotated digests in any message; the byte limit applies as well."""
+"""Maximum rotated digests in a message; the byte limit applies as well."""
 
 
 class ByteBudget:
@@ -67,12 +67,12 @@
     included: set[fact_store.FactId] = dataclasses.field(default_factory=set)
 
     def consume(self, size: int) -> None:
-        """Moves bytes from the remaining to the used ones."""
+        """Counts bytes as used."""
         self.remaining -= size
         self.used += size
 
     def add_fact(self, fact: peer_port.Fact) -> bool:
-        """Adds a fact if it fits; returns whether there was room."""
+        """Adds a fact if it fits; returns False if there is no room."""
         identity = (fact.kind, fact.key)
         if identity in self.included:
             return True
@@ -85,7 +85,7 @@
         return True
 
     def add_digest(self, digest: peer_port.FactDigest) -> bool:
-        """Adds a digest if it fits; returns whether there was room."""
+        """Adds a digest if it fits; returns False if there is no room."""
         identity = (digest.kind, digest.key)
         if identity in self.included:
             return True
@@ -98,7 +98,7 @@
         return True
 
     def add_want(self, digest: peer_port.FactDigest) -> bool:
-        """Requests a fact if it fits; returns whether there was room."""
+        """Adds a request for a fact; returns False if there is no room."""
         size = estimate_digest_bytes(digest)
         if size > self.remaining:
             return False
@@ -133,10 +133,10 @@
 def supersedes(
     entry: fact_store.Entry, digest: peer_port.FactDigest, now: float
 ) -> bool:
-    """Returns whether an entry is newer than a digest, or has expired."""
+    """Returns whether an entry is newer than a digest, or equal but expired."""
     order = (digest.version, digest.origin)
-    has_ended = now >= entry.expires_at
-    return entry.order > order or (has_ended and entry.order == order)
+    has_expired = now >= entry.expires_at
+    return entry.order > order or (has_expired and entry.order == order)
 
 
 def digest_of(fact: peer_port.Fact) -> peer_port.FactDigest:
--- a/src/almondshift/coordination/drain.py
+++ b/src/almondshift/coordination/drain.py
@@ -52,7 +52,7 @@
 
     Attributes:
         hold_s: How long a caller may cache the response of /v1/entries.
-        margin_s: Added to it for the propagation of the announcement.
+        margin_s: Added to ``hold_s`` for the propagation of the announcement.
         grace_s: Time from the announcement until requests that still run are
             aborted; the platform's own grace period starts then too.
         announce_s: Longest wait for the announcement.
@@ -148,7 +148,7 @@
 
         The hold time bounds how long callers may arrive, not how long their
         requests take. Without this check, a caller got a partial response and
-        an error that left open what had run. If the estimate is right, an
+        an error that didn't say what had run. If the estimate is right, an
         accepted request ends by itself or by its deadline; otherwise it gets
         the final error.
         """
@@ -207,19 +207,19 @@
 
     async def announce_with_timeout(self) -> None:
         """Notifies peers; an unresponsive one must not delay the drain."""
-        telling = asyncio.ensure_future(self.announce())
-        waiting = asyncio.ensure_future(
+        announcement = asyncio.ensure_future(self.announce())
+        timer = asyncio.ensure_future(
             self.clock.sleep(self.settings.announce_s)
         )
         await asyncio.wait(
-            {telling, waiting}, return_when=asyncio.FIRST_COMPLETED
+            {announcement, timer}, return_when=asyncio.FIRST_COMPLETED
         )
-        for task in (telling, waiting):
+        for task in (announcement, timer):
             task.cancel()
-        await asyncio.gather(telling, waiting, return_exceptions=True)
+        await asyncio.gather(announcement, timer, return_exceptions=True)
 
     async def wait_until(self, at: float, *, until_idle: bool) -> None:
-        """Waits until a time, or with ``until_idle`` until all have ended."""
+        """Waits until a time, or with ``until_idle`` until no request runs."""
         while (left := at - self.clock.monotonic()) > 0:
             if until_idle and not self.in_flight:
                 return
--- a/src/almondshift/coordination/fact_exchange.py
+++ b/src/almondshift/coordination/fact_exchange.py
@@ -67,9 +67,11 @@
         """Merges a peer's message and returns this node's reply."""
         draft = self.new_draft(now)
         self.merge_message(message, now, draft)
-        is_new = len(message.digests) < self.settings.rotated_digests
+        is_sender_new = len(message.digests) < self.settings.rotated_digests
         max_digests = (
-            drafts.MAX_DIGESTS if is_new else self.settings.rotated_digests
+            drafts.MAX_DIGESTS
+            if is_sender_new
+            else self.settings.rotated_digests
         )
         self.fill(draft, now, max_digests)
         return self.finish_message(draft)
@@ -87,7 +89,7 @@
     def merge_message(
         self, message: peer_port.Exchange, now: float, draft: drafts.Draft
     ) -> None:
-        """Merges facts and heartbeats; drafts what the sender lacks."""
+        """Merges a message; adds to the draft what the sender lacks."""
         for fact in message.facts:
             self.merge_fact(fact, now, draft)
         for want in message.wants:
@@ -98,20 +100,20 @@
     def merge_facts(self, message: peer_port.Exchange) -> None:
         """Merges only the facts of a reply."""
         now = self.clock.monotonic()
-        nothing = drafts.Draft(remaining=0)
+        unsent_draft = drafts.Draft(remaining=0)
         for fact in message.facts:
-            self.merge_fact(fact, now, nothing)
+            self.merge_fact(fact, now, unsent_draft)
 
     def merge_fact(
         self, fact: peer_port.Fact, now: float, draft: drafts.Draft
     ) -> None:
-        """Merges a fact or an expiry notice; drafts a newer version held."""
+        """Merges a fact or an expiry notice; adds a newer fact to the draft."""
         if self.facts.merge(fact, now):
             draft.included.add((fact.kind, fact.key))
             self.reassert_own_fact(fact)
             return
         if fact.ttl_s <= 0:
-            self.merge_end_notice(fact, now)
+            self.merge_expiry_notice(fact, now)
             return
         entry = self.store.get(fact.kind, fact.key)
         if entry is not None and drafts.supersedes(
@@ -122,7 +124,7 @@
     def merge_digest(
         self, digest: peer_port.FactDigest, now: float, draft: drafts.Draft
     ) -> None:
-        """Merges a digest; drafts a newer version held or a request."""
+        """Merges a digest; adds a newer version or a request to the draft."""
         identity = (digest.kind, digest.key)
         entry = self.store.entries.get(identity)
         if entry is not None and drafts.supersedes(entry, digest, now):
@@ -149,13 +151,13 @@
         draft: drafts.Draft,
         now: float,
     ) -> None:
-        """Drafts a fact of which the sender has an older version.
+        """Adds to the draft a fact of which the sender has an older version.
 
-        For a fact that has expired, a notice is sent: the fact without value
-        and with no time to live. It tells a sender whose wall clock is behind
-        why its fact is rejected: others hold a tombstone of a newer version,
-        from before its restart or from another node. It tells a sender whose
-        clock stood still which facts have expired.
+        If the fact has expired, an expiry notice is sent instead: the fact
+        without value and with no time to live. It tells a sender whose wall
+        clock is behind why its fact is rejected: others hold a tombstone of a
+        newer version, from before its restart or from another node. It also
+        tells a sender whose clock stood still which facts have expired.
         """
         if now >= entry.expires_at:
             notice = dataclasses.replace(entry.fact(now), ttl_s=0.0, value=b"")
@@ -174,7 +176,7 @@
     def add_held_fact(
         self, identity: fact_store.FactId, draft: drafts.Draft, now: float
     ) -> bool:
-        """Adds a held fact to the draft; returns whether there was room."""
+        """Adds a held fact to the draft; returns False if there is no room."""
         entry = self.store.entries.get(identity)
         if entry is None or now >= entry.expires_at:
             return True
@@ -190,7 +192,7 @@
         if is_own and fact.key == self.table.name:
             self.rejoin()
 
-    def merge_end_notice(self, notice: peer_port.Fact, now: float) -> None:
+    def merge_expiry_notice(self, notice: peer_port.Fact, now: float) -> None:
         """Merges a notice that this or a newer version of a fact has expired.
 
         A fact of this node is republished with a newer version; any other
@@ -204,19 +206,20 @@
         if is_live and is_older and entry.origin == self.table.name:
             self.republish(entry, notice.version, now)
             return
-        self.store.end(entry, notice.version, notice.origin, now)
+        self.store.expire_entry(entry, notice.version, notice.origin, now)
         if is_live:
             self.facts.notify_subscribers(notice.kind, notice.key, None)
 
     def republish(
         self, entry: fact_store.Entry, version: int, now: float
     ) -> None:
-        """Republishes an own fact above a version from before a restart."""
-        number = fact_store.generation(version) + 1
-        if number > fact_store.MAX_GENERATION:
+        """Republishes an own fact with a version above the given one."""
+        generation_number = fact_store.generation(version) + 1
+        if generation_number > fact_store.MAX_GENERATION:
             return
         fact = dataclasses.replace(
-            entry.fact(now), version=fact_store.first_version_of(number)
+            entry.fact(now),
+            version=fact_store.first_version_of(generation_number),
         )
         self.facts.merge(fact, now)
 
@@ -289,7 +292,8 @@
         """Adds digests in rotation, in a third of the remaining space.
 
         Digests only repair what forwarding missed, so a few suffice. A node
-        that sent few itself is likely new and gets many, to request facts.
+        that sent few digests itself has probably just started, and gets many,
+        so that it can request the facts.
         """
         end = draft.remaining * 2 // 3
         for entry in self.store.next_in_rotation(max_digests, now):
--- a/src/almondshift/coordination/facts.py
+++ b/src/almondshift/coordination/facts.py
@@ -207,22 +207,24 @@
 
     def expire(self, now: float) -> list[Entry]:
         """Expires facts and purges tombstones; returns the expired facts."""
-        ended = []
-        forgotten = []
+        expired = []
+        purged = []
         for identity, entry in self.entries.items():
             if now >= entry.purge_at:
-                forgotten.append(identity)
+                purged.append(identity)
             if entry.value and now >= entry.expires_at:
                 entry.value = b""
-                ended.append(entry)
-        for identity in forgotten:
+                expired.append(entry)
+        for identity in purged:
             self.purge(identity)
-        for entry in ended:
+        for entry in expired:
             self.pending_facts.pop((entry.kind, entry.key), None)
             self.pending_heartbeats.pop((entry.kind, entry.key), None)
-        return ended
+        return expired
 
-    def end(self, entry: Entry, version: int, origin: str, now: float) -> None:
+    def expire_entry(
+        self, entry: Entry, version: int, origin: str, now: float
+    ) -> None:
         """Expires a fact because a newer version of it has expired."""
         entry.version = version
         entry.origin = origin
@@ -246,7 +248,7 @@
             decrement_sends(self.pending_heartbeats, identity)
 
     def next_in_rotation(self, count: int, now: float) -> list[Entry]:
-        """Returns up to ``count`` entries; the next call continues there."""
+        """Returns the next entries, up to ``count``, in rotation over calls."""
         found: list[Entry] = []
         for _ in range(len(self.rotation)):
             if len(found) >= count:
--- a/src/almondshift/coordination/grouped_writes.py
+++ b/src/almondshift/coordination/grouped_writes.py
@@ -28,10 +28,10 @@
     """Limits of the groups.
 
     Attributes:
-        rows: Most rows in one transaction.
-        waiting: Most transactions in the queue; further ones are refused.
+        rows: Maximum rows in one transaction.
+        waiting: Maximum transactions in the queue; further ones are refused.
         in_flight: Groups committed concurrently. With a second one, others
-            make progress while the answer to the first is lost or late.
+            make progress while the response to the first is lost or late.
     """
 
     rows: int = 64
@@ -127,7 +127,7 @@
         whose condition failed, so the later one waits for the next group.
         """
         group: list[PendingTransaction] = []
-        left: list[PendingTransaction] = []
+        postponed: list[PendingTransaction] = []
         rows_touched: set[tuple[str, str]] = set()
         while self.waiting:
             candidate = self.waiting.popleft()
@@ -135,14 +135,14 @@
                 continue
             touched = {(write.table, write.key) for write in candidate.writes}
             if group and self._is_full(rows_touched, touched):
-                left.append(candidate)
+                postponed.append(candidate)
                 break
             if rows_touched & touched:
-                left.append(candidate)
+                postponed.append(candidate)
                 continue
             rows_touched |= touched
             group.append(candidate)
-        self.waiting.extendleft(reversed(left))
+        self.waiting.extendleft(reversed(postponed))
         return group
 
     def _is_full(
@@ -153,7 +153,7 @@
     async def _commit(self, group: Sequence[PendingTransaction]) -> None:
         if not group:
             return
-        writes = [write for waiting in group for write in waiting.writes]
+        writes = [write for pending in group for write in pending.writes]
         result = await self.store.transact(writes)
         if result.is_ok():
             _distribute_revisions(group, result.ok)
@@ -164,26 +164,26 @@
             await self._commit(group[:middle])
             await self._commit(group[middle:])
             return
-        for waiting in group:
-            _resolve(waiting, expression.Error(result.error))
+        for pending in group:
+            _resolve(pending, expression.Error(result.error))
 
 
 def _distribute_revisions(
     group: Sequence[PendingTransaction], revisions: list[int]
 ) -> None:
     start = 0
-    for waiting in group:
-        end = start + len(waiting.writes)
-        _resolve(waiting, expression.Ok(revisions[start:end]))
+    for pending in group:
+        end = start + len(pending.writes)
+        _resolve(pending, expression.Ok(revisions[start:end]))
         start = end
 
 
 def _resolve(
-    waiting: PendingTransaction,
+    pending: PendingTransaction,
     result: expression.Result[list[int], stores.StoreError],
 ) -> None:
-    if not waiting.outcome.done():
-        waiting.outcome.set_result(result)
+    if not pending.outcome.done():
+        pending.outcome.set_result(result)
 
 
 def _fail_group(
@@ -191,8 +191,8 @@
 ) -> None:
     """Resolves all as outcome unknown, e.g. if the task was cancelled."""
     unknown = errors.StoreOutcomeUnknown(f"The write was aborted: {error!r}.")
-    for waiting in group:
-        _resolve(waiting, expression.Error(unknown))
+    for pending in group:
+        _resolve(pending, expression.Error(unknown))
 
 
 def create_grouped_store(
--- a/src/almondshift/coordination/lease.py
+++ b/src/almondshift/coordination/lease.py
@@ -3,9 +3,10 @@
 The holder's deadline counts from before its renewal was sent, and a
 contender waits for the whole duration after it first saw the row unchanged,
 each on its own monotonic clock. So the holder's grant has expired before
-another process can take the lease, without comparing clocks. What remains are
-clocks that run at different rates (see ``max_clock_drift``) and clocks that
-stop with a paused machine; in these cases endpoints reject stale tokens.
+another process can take the lease, without comparing clocks. The remaining
+risks are clocks that run at different rates (see ``max_clock_drift``) and
+clocks that stop with a paused machine; in these cases endpoints reject stale
+tokens.
 """
 
 from __future__ import annotations
@@ -30,7 +31,8 @@
 
 STARTUP_CHECK_INTERVAL_S = 0.1
 """Interval, in seconds, at which a process that has just started and may not
-contend checks whether it may; it reads nothing meanwhile."""
+contend for the lease checks again whether it may; it doesn't read the row
+before that."""
 
 STARTUP_CHECK_PERIOD_S = 5.0
 """How long it checks at that interval, in seconds; processes that start
@@ -82,7 +84,7 @@
     Attributes:
         holder: Name of the holder, for display.
         token: Random id of the holder's process.
-        renewal: Number of the holder's request that wrote the row.
+        renewal: Sequence number of the holder's request that wrote the row.
         fencing: Fencing token of the current or last grant.
         duration_s: Duration that the holder uses.
         released: Whether the holder released the lease.
@@ -124,14 +126,14 @@
     """One process's participation in a lease.
 
     Attributes:
-        own_revision: Revision of this process's last write, while no later
-            write has an unknown outcome; None makes the next step read.
+        own_revision: Revision of this process's last write; None if that is
+            not known, which makes the next step read the row.
         holder: Name of the last known holder, ``""`` if none; for display.
         may_contend: Returns whether this process currently contends; a few
             of many suffice, and each causes reads.
         is_holder_alive: Returns whether the named holder is known to be alive
-            by other means; only saves reads and never decides who may hold
-            the lease.
+            by other means; used only to save reads, never to decide who may
+            hold the lease.
     """
 
     def __init__(
@@ -246,9 +248,9 @@
         )
 
     async def _renew(self, row: LeaseRow, revision: int) -> None:
-        """Renews this process's row, also after a lost answer.
+        """Renews this process's row, also after a lost response.
 
-        The row may come from a request of this process whose answer was lost;
+        The row may come from a request of this process whose response was lost;
         its grant counts from before that request. After the deadline the
         fencing token is incremented, to distinguish orders from before and
         after it.
--- a/src/almondshift/coordination/leaving.py
+++ b/src/almondshift/coordination/leaving.py
@@ -4,13 +4,15 @@
 leaving says so when it is queried or refuses work; and a node that learns this
 notifies its peers. The fastest source counts: dispatch checks ``is_leaving``
 and sends no new work to an endpoint that any source reports as leaving. With
-the list alone, endpoints would get new work until it catches up, and lose it.
+the list alone, leaving endpoints would get new work until the list catches up,
+and that work would be lost.
 
 A name may be reused by a new VM. A report applies to one instance, so that a
-new instance under the same name is not leaving. The list omits instances: its
-report applies to the instance that was present when it began. If an instance
-is replaced before the list shows the old one as leaving, the new one is
-therefore skipped until the list has caught up.
+new instance under the same name is not leaving. The list does not name
+instances: its report applies to the instance that was present when the list
+first showed the endpoint as leaving. If an instance is replaced before the
+list shows the old one as leaving, the new one is therefore skipped until the
+list has caught up.
 """
 
 from __future__ import annotations
@@ -34,8 +36,9 @@
     Publish = Callable[[peers.FactKind, str, bytes, float], None]
 
 LEAVING_TTL_S = 300.0
-"""How long a report is valid; longer than the lag of any list and than a VM
-runs after it was told to stop. It expires if no node sees the VM replaced."""
+"""How long a report is valid; longer than the lag of any list and the time for
+which a VM runs after it was told to stop. The report expires then if no node
+sees the VM replaced."""
 
 REPUBLISH_AFTER_S = LEAVING_TTL_S / 2
 MAX_FORMER_INSTANCES = 4
@@ -188,7 +191,11 @@
             self.listed_leaving(name)
 
     def listed_leaving(self, endpoint: str) -> None:
-        """Records the list's report for the instance it started with."""
+        """Records that the list shows an endpoint as leaving.
+
+        The report applies to the instance that was present when the list first
+        did.
+        """
         present = self.instances.get(endpoint, "")
         instance = self.listed.setdefault(endpoint, present)
         if instance == present:
@@ -225,21 +232,21 @@
         )
 
     def add_report(
-        self, endpoint: str, instance: str, source: LeavingSource, for_s: float
+        self, endpoint: str, instance: str, source: LeavingSource, ttl_s: float
     ) -> None:
         """Adds one source's report about an instance."""
         now = self.clock.monotonic()
         known = self.leaving.get(endpoint)
         is_other = known is not None and "" != known.instance != instance
         if known is None or now >= known.expires_at or (is_other and instance):
-            known = LeavingEndpoint(instance, now, now + for_s, set())
+            known = LeavingEndpoint(instance, now, now + ttl_s, set())
             self.leaving[endpoint] = known
         known.sources.add(source)
         known.instance = known.instance or instance
-        known.expires_at = max(known.expires_at, now + for_s)
+        known.expires_at = max(known.expires_at, now + ttl_s)
 
     def publish_leaving(self, endpoint: str, instance: str) -> None:
-        """Notifies peers of a leaving endpoint, but not on every refusal."""
+        """Notifies peers, but not again on every refusal by the endpoint."""
         now = self.clock.monotonic()
         published_at = self.published_at.get(endpoint)
         if published_at is not None and now - published_at < REPUBLISH_AFTER_S:
--- a/src/almondshift/coordination/membership.py
+++ b/src/almondshift/coordination/membership.py
@@ -217,7 +217,7 @@
         """Registers a callback; see ``SharedFacts.subscribe``."""
         self.shared.subscribe(kind, callback)
 
-    def tell(
+    def notify_subscribers(
         self, kind: peer_port.FactKind, key: str, fact: peer_port.Fact | None
     ) -> None:
         """Notifies the subscribers of a change."""
@@ -243,7 +243,7 @@
         """Asks a peer a question.
 
         Returns:
-            The body of its answer, or ``PeerUnreachable``: ``NOT_RUN`` if
+            The body of its reply, or ``PeerUnreachable``: ``NOT_RUN`` if
             the question was never sent or the peer does not know the topic.
         """
         address = self.table.address_of(peer_name)
@@ -266,7 +266,7 @@
     async def handle(
         self, message: peer_port.PeerMessage
     ) -> peer_port.PeerMessage:
-        """Answers a peer's message; the handler of the link."""
+        """Returns the reply to a peer's message; the handler of the link."""
         match message:
             case peer_port.Question():
                 return await self.handle_question(message)
@@ -277,7 +277,7 @@
     async def handle_question(
         self, question: peer_port.Question
     ) -> peer_port.Answer:
-        """Answers a question if its topic has a handler."""
+        """Returns the reply to a question, if its topic has a handler."""
         handler = self.handlers.get(question.topic)
         if handler is None:
             return peer_port.Answer(known=False, body=b"")
@@ -302,7 +302,7 @@
         return self.messages.create_reply(message, now)
 
     def was_paused(self, now: float) -> bool:
-        """Returns whether the last round is too long ago."""
+        """Returns whether this process was frozen since its last round."""
         if self.last_round_at is None:
             return False
         return now - self.last_round_at > self.settings.pause_threshold_s
@@ -366,7 +366,7 @@
     async def call(
         self, address: str, message: peer_port.Exchange
     ) -> peer_port.Exchange | None:
-        """Sends a message; returns the reply less its transit time."""
+        """Sends a message; returns the reply, aged by its time in transit."""
         sent_at = self.clock.monotonic()
         result = await self.link.call(
             address, message, self.settings.call_timeout_s
--- a/src/almondshift/coordination/peer_table.py
+++ b/src/almondshift/coordination/peer_table.py
@@ -24,7 +24,7 @@
 """A fact with a longer time to live comes from another release or an error."""
 
 MAX_DROPPED_ADDRESSES = 500
-"""Most addresses of dropped nodes kept in order to reconnect to them."""
+"""Maximum addresses of dropped nodes kept in order to reconnect to them."""
 
 
 class PeerTable:
@@ -90,7 +90,7 @@
         )
 
     def published_ttl_s(self, value: peer_types.NodeValue | None) -> float:
-        """Returns the same from the fact's value, or a default if invalid."""
+        """Returns that time from the fact's value, or a default if invalid."""
         if value is None or not 0.0 < value.holds_s <= MAX_NODE_TTL_S:
             return self.dropped_after_s()
         return value.holds_s
--- a/src/almondshift/coordination/peer_types.py
+++ b/src/almondshift/coordination/peer_types.py
@@ -58,7 +58,7 @@
         urgent_gap_s: Minimum time between a round and an urgent extra one.
         call_timeout_s: Timeout of one exchange call.
         message_bytes: Maximum size of an exchange message.
-        bytes_per_s: Most bytes sent per second, including replies.
+        bytes_per_s: Maximum bytes sent per second, including replies.
         rotated_digests: Digests in a message besides heartbeats.
         heartbeats_per_s: Heartbeats per second in the whole system; with more
             nodes each sends fewer, so that the traffic stays constant.
@@ -67,7 +67,8 @@
         drop_after_heartbeats: Missed heartbeats after which it is dropped.
         propagation_s: Allowance for the propagation of a heartbeat to all
             nodes.
-        failed_calls: Consecutive failed calls that make a peer suspect here.
+        failed_calls: Consecutive failed calls by this node that make a peer
+            suspect.
         pause_threshold_s: Time without a round after which this process must
             have been frozen, and messages that waited meanwhile are stale.
         seed_interval_s: Time between calls to an address outside the
@@ -103,8 +104,9 @@
         holds_s: Seconds for which the fact is valid after the node published
             it or sent a heartbeat, based on the group size as that node knew
             it; 0 if unset. Peers compute the time of its last heartbeat from
-            it. With their own view of the size, they would consider nodes
-            silent that started while the group was still small.
+            it. If they used their own view of the group size instead, they
+            would consider nodes silent that started while the group was still
+            small.
     """
 
     peer: str
--- a/src/almondshift/coordination/quarantine.py
+++ b/src/almondshift/coordination/quarantine.py
@@ -114,7 +114,7 @@
         self.work.begin(endpoint, fingerprint)
 
     def done(self, endpoint: str, fingerprint: str) -> None:
-        """Records that the endpoint answered, or the work was abandoned."""
+        """Records that the endpoint responded, or the work was abandoned."""
         if self.work.end(endpoint, fingerprint):
             self.publish_if_ended(fingerprint)
 
@@ -135,11 +135,11 @@
             at: Monotonic time in seconds.
             zone: Availability zone, or rack if known.
         """
-        began = self.work.end_all(endpoint)
-        suspects = frozenset(began)
+        start_times = self.work.end_all(endpoint)
+        suspects = frozenset(start_times)
         implicated_again = {
             fingerprint
-            for fingerprint, started in began.items()
+            for fingerprint, started in start_times.items()
             if self.crashes.was_excluded_before(fingerprint, started)
         }
         alone = suspects in [
@@ -147,30 +147,30 @@
             for fingerprint, endpoints in self.trials.items()
             if endpoint in endpoints
         ]
-        counted = (
+        implicated = (
             suspects
             if self.implicates_requests(endpoint, alone)
             else frozenset()
         )
         crash = quarantine_crashes.Crash(endpoint, zone, at, set(), alone)
         keys = self.crashes.add_own(
-            crash, counted if alone else counted - implicated_again
+            crash, implicated if alone else implicated - implicated_again
         )
         if implicated_again and not alone:
             firm = dataclasses.replace(crash, firm=True)
-            keys += self.crashes.add_own(firm, counted & implicated_again)
+            keys += self.crashes.add_own(firm, implicated & implicated_again)
         self.crashes.exclude_if_infrastructure(crash)
         for key in keys[:MAX_FACTS_PER_CRASH]:
             self.publisher.publish_crash(key, self.crashes.by_key[key])
         for fingerprint in suspects:
             self.publish_if_ended(fingerprint)
         infrastructure = self.crashes.by_key[keys[0]].excluded
-        return CrashOutcome(counted, infrastructure)
+        return CrashOutcome(implicated, infrastructure)
 
     def implicates_requests(self, endpoint: str, alone: bool) -> bool:
         """Returns whether a crash implicates the requests in flight.
 
-        At an endpoint reserved for a suspect, it implicates only that one.
+        At an endpoint reserved for a suspect, it implicates only that suspect.
         """
         return alone or endpoint not in self.reserved()
 
--- a/src/almondshift/coordination/quarantine_crashes.py
+++ b/src/almondshift/coordination/quarantine_crashes.py
@@ -94,7 +94,7 @@
         )
 
     def exclude_if_infrastructure(self, reference: Crash) -> None:
-        """Excludes the crashes around one if they are of a rack or zone."""
+        """Excludes the crashes near one if a rack or zone failed then."""
         nearby = {
             key: crash
             for key, crash in self.by_key.items()
@@ -145,7 +145,10 @@
     def without_cleared(
         self, fingerprints: AbstractSet[str], at: float
     ) -> set[str]:
-        """Returns the fingerprints not cleared since; facts may arrive late."""
+        """Returns the fingerprints that were not cleared after ``at``.
+
+        The fact about a crash may arrive after its suspects were cleared.
+        """
         return {f for f in fingerprints if self.cleared.get(f, at - 1) < at}
 
     def clear(self, fingerprint: str, at: float) -> None:
--- a/src/almondshift/coordination/quarantine_facts.py
+++ b/src/almondshift/coordination/quarantine_facts.py
@@ -73,13 +73,13 @@
 
     def publish_convicted(self, fingerprint: str) -> None:
         """Publishes that all nodes have to refuse a request from now on."""
-        for_s = self.settings.conviction_s
-        self.publish_fact(f"convicted/{fingerprint}", EMPTY_VALUE, for_s)
+        ttl_s = self.settings.conviction_s
+        self.publish_fact(f"convicted/{fingerprint}", EMPTY_VALUE, ttl_s)
 
     def publish_cleared(self, fingerprint: str) -> None:
         """Publishes that a request is no longer a suspect."""
-        for_s = self.settings.suspicion_s
-        self.publish_fact(f"cleared/{fingerprint}", EMPTY_VALUE, for_s)
+        ttl_s = self.settings.suspicion_s
+        self.publish_fact(f"cleared/{fingerprint}", EMPTY_VALUE, ttl_s)
 
     def publish_trial(
         self, fingerprint: str, endpoints: frozenset[str]
@@ -95,7 +95,7 @@
         self.withdraw_fact(f"trial/{fingerprint}")
 
     def publish_running(self, fingerprint: str) -> None:
-        """Publishes that a new suspect is already running here."""
+        """Publishes that a request that became a suspect is running here."""
         if fingerprint in self.published_running:
             return
         self.published_running.add(fingerprint)
--- a/src/almondshift/coordination/quarantine_verdicts.py
+++ b/src/almondshift/coordination/quarantine_verdicts.py
@@ -22,8 +22,9 @@
 
     Attributes:
         retry_after_s: If refused, seconds until a retry makes sense.
-        convicted: If refused, whether because of a conviction; otherwise it
-            is enough that the node itself waits briefly.
+        convicted: Whether the request is refused because of a conviction;
+            after any other refusal it is enough that the node itself waits
+            briefly.
     """
 
     kind: VerdictKind
--- a/src/almondshift/coordination/shared_facts.py
+++ b/src/almondshift/coordination/shared_facts.py
@@ -95,12 +95,12 @@
         so that they exceed those from before the restart. If the clock went
         back, the node learns the old version and uses a higher one.
         """
-        started = int(self.clock.wall() * 1000)
+        wall_ms = int(self.clock.wall() * 1000)
         held = self.store.get(kind, key)
         if held is None:
-            return fact_store.first_version_of(started)
+            return fact_store.first_version_of(wall_ms)
         following = fact_store.generation(held.version) + 1
-        return fact_store.first_version_of(max(started, following))
+        return fact_store.first_version_of(max(wall_ms, following))
 
     def facts(self, kind: peer_port.FactKind) -> Mapping[str, peer_port.Fact]:
         """Returns the facts of a kind that are valid now, by key."""
@@ -161,7 +161,8 @@
         If each node that learns an urgent fact sends it log2 n + 2 times,
         fewer than one node in n misses it; digests repair those. Other kinds
         are sent less often: a node that misses a fact about a node learns of
-        it by the next heartbeat, and loads are republished regularly.
+        it from that node's next heartbeat, and loads are republished
+        regularly.
         """
         if kind not in fact_store.URGENT_KINDS:
             return 3
--- a/src/almondshift/coordination/silent_peers.py
+++ b/src/almondshift/coordination/silent_peers.py
@@ -1,15 +1,16 @@
 """Fast detection of peers that stop responding.
 
-Load pattern: with hundreds of nodes each sends a heartbeat only every few
-seconds, so that a node that lost power is noticed only after two or three times
-that long. Meanwhile all nodes give its address to callers, and each caller that
-uses it waits a second for a connection.
+With hundreds of nodes each sends a heartbeat only every few seconds. By missing
+heartbeats alone, a node that lost power would be noticed only after two or
+three times as long. Meanwhile all nodes would give its address to callers, and
+each caller that uses it would wait a second for a connection.
 
 Each peer is called by some node about twice a second, and such a call fails
 within half a second. So the first node whose call fails reports it to all, and
-each node calls the peer itself before it considers it suspect. Otherwise a node
-that is slow, or has lost its own link, would withhold live nodes from all
-callers. A node that has not reached any peer recently reports nothing.
+each node calls the peer itself before it considers it suspect. Otherwise the
+reports of a node that is slow, or has lost its own link, would withhold the
+addresses of live nodes from all callers. A node that has not reached any peer
+recently reports nothing.
 """
 
 from __future__ import annotations
@@ -30,11 +31,11 @@
     from almondshift.ports import clocks
 
 TOPIC = "alive"
-"""Has no handler; a node answers that it does not know the topic, which is
-enough to show that it is alive."""
+"""No node has a handler for this topic; the reply that the topic is unknown is
+enough to show that the node is alive."""
 
 NOTICE_TTL_S = 3.0
-"""Time to live of the notice; after that the missing heartbeat is noticed."""
+"""Time to live of a report; after that, missing heartbeats are noticed."""
 
 REACHED_WITHIN_S = 0.6
 """A node that reached a peer this recently has a working link: it calls two
@@ -50,7 +51,7 @@
     """Reports and probes peers that stop responding, on one node.
 
     Attributes:
-        reached_at: When a peer last answered this node.
+        reached_at: When a peer last replied to this node.
     """
 
     def __init__(
@@ -70,11 +71,11 @@
         facts.subscribe(peer_port.FactKind.NODE_SILENT, self.on_silent_fact)
 
     def note_reached(self, now: float) -> None:
-        """Records that a peer answered."""
+        """Records that a peer replied."""
         self.reached_at = now
 
     def note_call_failed(self, address: str) -> None:
-        """Records an unanswered call and reports it unless already known."""
+        """Records a failed call; reports the peer unless it was suspect."""
         name = self.table.name_of_address(address)
         if not name:
             return
@@ -102,7 +103,10 @@
             self.spawn(self.probe(name))
 
     async def probe(self, name: str) -> None:
-        """Probes a peer; on failure also counts the reporting node's call."""
+        """Probes a peer; if that fails, also counts the call that was reported.
+
+        The failure of the probe itself is recorded by ``ask``.
+        """
         asked_at = self.clock.monotonic()
         await self.ask(name, TOPIC, b"", PROBE_TIMEOUT_S)
         if self.table.last_contact_at.get(name, -math.inf) < asked_at:
--- a/src/almondshift/coordination/versioned_config.py
+++ b/src/almondshift/coordination/versioned_config.py
@@ -36,7 +36,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigSettings:
-    """Read intervals and the handling of lost answers.
+    """Read intervals and the handling of lost responses.
 
     Attributes:
         interval_s: Mean seconds between reads of the head.
@@ -92,7 +92,7 @@
         self.read_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Starts reading the head; does not wait for the first answer."""
+        """Starts reading the head; does not wait for the first read."""
         self.read_task = asyncio.create_task(self._read_loop())
 
     async def close(self) -> None:
@@ -210,7 +210,7 @@
         if head.is_error():
             return expression.Error(head.error)
         if config_rows.head_version(head.ok) != proposal.version - 1:
-            return await self._conflict(proposal, head.ok)
+            return await self._resolve_conflict(proposal, head.ok)
         revision = config_rows.head_revision(head.ok)
         return await self._write(proposal, revision)
 
@@ -219,7 +219,7 @@
     ) -> VersionResult:
         """Writes until the outcome is known or the attempts are exhausted.
 
-        An answer may be lost after the write took effect; the operator would
+        A response may be lost after the write took effect; the operator would
         then get an error although the text is active. Writing again from the
         same revision of the head is safe: at most one of these writes takes
         effect, and after ``ConditionFailed`` the row of the change id shows
@@ -249,12 +249,14 @@
     ) -> VersionResult:
         head = await self._head()
         if head.is_ok():
-            return await self._conflict(proposal, head.ok, may_have_written)
+            return await self._resolve_conflict(
+                proposal, head.ok, may_have_written
+            )
         if may_have_written:
             return expression.Error(_outcome_unknown(proposal.change_id))
         return expression.Error(_conflict(proposal.version - 1, None))
 
-    async def _conflict(
+    async def _resolve_conflict(
         self,
         proposal: operations.ConfigVersion,
         head: stores.Row | None,
@@ -348,13 +350,13 @@
     async def _read_loop(self) -> None:
         interval_s = self.settings.interval_s
         while True:
-            done = await self.poll()
-            interval_s = self._next_interval(interval_s, done.is_ok())
+            polled = await self.poll()
+            interval_s = self._next_interval(interval_s, polled.is_ok())
             spread = self.settings.jitter * self.rng.uniform(-1.0, 1.0)
             await self.clock.sleep(interval_s * (1.0 + spread))
 
-    def _next_interval(self, interval_s: float, store_answers: bool) -> float:
-        if store_answers:
+    def _next_interval(self, interval_s: float, was_read: bool) -> float:
+        if was_read:
             return self.settings.interval_s
         return min(2 * interval_s, self.settings.max_interval_s)
 
--- a/src/almondshift/node/load_exchange.py
+++ b/src/almondshift/node/load_exchange.py
@@ -144,7 +144,7 @@
         )
         # A state received earlier is not published again for minutes.
         for key, fact in self.membership.facts(state_kind).items():
-            self.membership.tell(state_kind, key, fact)
+            self.membership.notify_subscribers(state_kind, key, fact)
 
     async def close(self) -> None:
         """Stops publishing."""
