--- a/src/almondshift/node/at_most_once.py
+++ b/src/almondshift/node/at_most_once.py
@@ -50,7 +50,9 @@
         deadline: float,
         work: Work,
     ) -> WorkResult:
-        """Runs ``work`` if this attempt gets the claim, else awaits its result.
+        """Runs ``work`` if this attempt gets the claim.
+
+        Otherwise waits for the result of the attempt that holds it.
 
         Args:
             account: Client account.
@@ -118,25 +120,25 @@
 
 
 class ClaimQueries:
-    """Asks peers about attempts and answers their queries."""
+    """Queries peers about attempts and replies to their queries."""
 
     def __init__(self, membership: memberships.Membership) -> None:
         self.membership = membership
         self.claims: claim_parts.Claims | None = None
 
     def attach(self, claims: claim_parts.Claims) -> None:
-        """Starts answering queries from these claims."""
+        """Starts replying to queries about these claims."""
         self.claims = claims
         self.membership.answer(TOPIC, self._answer)
 
     async def ask(
         self, node: str, attempt: str
     ) -> claim_attempts.ClaimantAnswer:
-        """Asks a node; returns ``UNKNOWN`` if it does not answer."""
-        answer = await self.membership.ask(
+        """Asks a node; returns ``UNKNOWN`` if it does not reply."""
+        reply = await self.membership.ask(
             node, TOPIC, attempt.encode(), ASK_TIMEOUT_S
         )
-        match answer:
+        match reply:
             case expression.Result(tag="ok", ok=body):
                 return claim_attempts.ClaimantAnswer(body.decode())
             case _:
--- a/src/almondshift/node/coalescer.py
+++ b/src/almondshift/node/coalescer.py
@@ -115,7 +115,8 @@
         Time in the queue doesn't count towards the time-out: under a burst
         a healthy engine's queue is long, and treating that engine as dead
         would replay the work elsewhere at peak load. When a call gets no
-        answer, all queued items fail too, as not sent if no portion was.
+        response, all queued items fail too; those of which no portion was
+        sent fail as not sent.
 
         Args:
             item: The item; a long one may be split into portions.
@@ -182,7 +183,7 @@
             self._fail(portions, outcome.error)
             self._fail_queued(outcome.error)
             return
-        self._answer(portions, outcome.ok)
+        self._take_results(portions, outcome.ok)
 
     async def _step(
         self, items: list[steps.StepItem]
@@ -196,7 +197,7 @@
             return expression.Error(errors.EndpointOutcomeUnknown(detail))
 
     def _fail_queued(self, error: engines.EngineError) -> None:
-        """Fails the queued items after a call that got no answer.
+        """Fails the queued items after a call that got no response.
 
         Otherwise each step queued for a frozen engine would wait for one
         more call to time out, and recovery would take several time-outs.
@@ -233,7 +234,7 @@
         for portion in portions:
             resolve(portion.waiter, failed_outcome(portion.waiter, error))
 
-    def _answer(
+    def _take_results(
         self,
         portions: list[step_queue.Portion],
         results: list[steps.StepResult],
@@ -325,7 +326,7 @@
 def unanswered_outcome(
     waiter: step_queue.Waiter, reason: str
 ) -> step_queue.StepOutcome:
-    """Returns the outcome of a waiter that is given up without an answer."""
+    """Returns the outcome of a waiter that is given up without a response."""
     if waiter.is_sent:
         detail = f"The step got no answer: {reason}."
         return expression.Error(errors.EndpointOutcomeUnknown(detail))
--- a/src/almondshift/node/config_spread.py
+++ b/src/almondshift/node/config_spread.py
@@ -103,17 +103,15 @@
     async def _fetch_from_peers(self, fact: peers.Fact) -> None:
         """Fetches the configuration text from a peer.
 
-        Otherwise this node would stay on an older version than its peers
+        Without this, a node would stay on an older version than its peers
         for as long as the store is unavailable.
         """
         names = [str(json.loads(fact.value)["at"])]
         others = [peer.name for peer in self.membership.peers()]
         self.rng.shuffle(others)
         for name in [*names, *others[:3]]:
-            answer = await self.membership.ask(
-                name, TOPIC, b"{}", ASK_TIMEOUT_S
-            )
-            match answer:
+            reply = await self.membership.ask(name, TOPIC, b"{}", ASK_TIMEOUT_S)
+            match reply:
                 case expression.Result(tag="ok", ok=body):
                     self._offer(body)
                 case _:
--- a/src/almondshift/node/crash_guard.py
+++ b/src/almondshift/node/crash_guard.py
@@ -1,6 +1,6 @@
 """Prevents one request from crashing one endpoint after another.
 
-Most crashes are not caused by a request, and callers then expect their answer
+Most crashes are not caused by a request, and callers then expect a response
 within a second. Requests in flight at a crash (suspects) are therefore retried
 at once, but only one suspect at a time runs on an endpoint, so that a second
 crash identifies the request that was in flight at both. That request is held
@@ -50,7 +50,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _StepPosition:
-    """How far a request has got: first layer and next position of a step."""
+    """Progress of a request: a step's first layer and the position after it."""
 
     layer: int
     position: int
@@ -99,7 +99,7 @@
         self._fingerprints.pop(request_id, None)
 
     def _fingerprint(self, request_id: str) -> str:
-        """Returns the fingerprint, or the id itself if it was forgotten."""
+        """Returns the fingerprint, or the id itself once the request ended."""
         return self._fingerprints.get(request_id, request_id)
 
     @contextlib.asynccontextmanager
@@ -152,7 +152,7 @@
             self.quarantine.done(endpoint, fingerprint)
 
     def plain_answered(self, endpoint: str, request_id: str) -> None:
-        """Records a complete answer of a plain service; clears a suspect."""
+        """Records a complete response of a plain service; clears a suspect."""
         fingerprint = self._fingerprint(request_id)
         self.quarantine.done(endpoint, fingerprint)
         if self.quarantine.crashes_against(fingerprint):
@@ -164,7 +164,7 @@
         """Admits a request for a retry after a failure, or refuses it.
 
         After one crash the request is retried almost at once. After two, the
-        quarantine's wait has to pass before the final answer: a caller that
+        quarantine's wait has to pass before the final response: a caller that
         gets it earlier could send the request through a node that doesn't
         know of the crashes yet.
         """
@@ -191,10 +191,11 @@
     def _retry_delay_s(self, fingerprint: str) -> float:
         """Returns the delay that staggers retries between nodes.
 
-        Several nodes may have suspects of the same crash. Retried at the same
-        time on one endpoint, an innocent request would crash a second time
-        with the guilty one and be refused. The order of the nodes differs by
-        endpoint, so that no node always waits longest.
+        Several nodes may have suspects of the same crash. If they retried
+        them at the same time on one endpoint, an innocent request would be in
+        flight at the second crash too and be refused like the guilty one. The
+        order of the nodes differs by endpoint, so that no node always waits
+        longest.
         """
         endpoint = self.quarantine.crashes_against(fingerprint)[0].endpoint
         return RETRY_SLOT_S * (self.rank(endpoint) % RETRY_SLOTS)
@@ -202,9 +203,10 @@
     async def _check_idle_endpoints(self, fingerprint: str) -> None:
         """Checks whether idle endpoints crashed along with the busy ones.
 
-        When a rack fails, this node notices at once only the engines that
-        run its work. Without checking the others, two crashes in the rack
-        would be blamed on the request that moved from one to the other.
+        When a rack fails, this node notices at once only the crashes of the
+        engines that run its work. Without checking the others, two crashes in
+        the rack would be attributed to the request that was moved from one
+        engine to the other.
         """
         crashes = self.quarantine.crashes_against(fingerprint)
         zones = {crash.zone for crash in crashes}
@@ -283,9 +285,10 @@
 
         A terminating process may still accept a connection and then break
         it. If that counted as alive, its crash would be attributed to no
-        request, so the check repeats until it answers or refuses. A process
-        that accepts a connection but sends nothing is frozen, or its link
-        is: that is no crash, and callers must not wait until it recovers.
+        request, so the check repeats until the process responds or refuses
+        the connection. If a process accepts a connection but sends nothing,
+        the process or its network link is frozen: that is no crash, and
+        callers must not wait until it recovers.
         """
         for _ in range(MAX_CHECKS):
             if not await _accepts(known.vm.address):
@@ -294,11 +297,11 @@
                 return False
             try:
                 async with asyncio.timeout(DESCRIBE_TIMEOUT_S):
-                    answer = await known.engine.describe()
+                    response = await known.engine.describe()
             except TimeoutError:
                 return False
-            if answer.is_ok():
-                return answer.ok.instance != known.description.instance
+            if response.is_ok():
+                return response.ok.instance != known.description.instance
             await self.clock.sleep(CHECK_INTERVAL_S)
         return False
 
--- a/src/almondshift/node/directory.py
+++ b/src/almondshift/node/directory.py
@@ -181,9 +181,9 @@
     def note_move_from_leaving(self, endpoint: str) -> None:
         """Records that a move makes the router regard an endpoint as leaving.
 
-        A move may be decided after the endpoint was found to stay; without
-        this record the router would skip it for ever. The next sync of the
-        endpoint notifies the router that it stays.
+        A move may be decided after the router was notified that the endpoint
+        stays. Because of this record, the next sync of the endpoint notifies
+        the router again; otherwise the router would skip it for ever.
         """
         known = self.endpoints.get(endpoint)
         if known is not None:
@@ -438,8 +438,8 @@
 
     def _engine_query_interval_s(self, known: Endpoint) -> float:
         if not known.watched and known.report is not None:
-            looks_s = len(self.endpoints) * self.settings.watch_check_interval_s
-            return max(self.settings.load_interval_s, looks_s)
+            check_s = len(self.endpoints) * self.settings.watch_check_interval_s
+            return max(self.settings.load_interval_s, check_s)
         watched = sum(1 for e in self.endpoints.values() if e.watched)
         return max(
             self.settings.load_interval_s,
@@ -455,11 +455,11 @@
 
     async def _run_probe(self, known: Endpoint, engine: engines.Engine) -> None:
         started = self.clock.monotonic()
-        answer = await engine.describe()
+        response = await engine.describe()
         now = self.clock.monotonic()
         self.driver.notify(
             events.ProbeAnswered(
-                now, known.vm.name, answer.is_ok(), now - started
+                now, known.vm.name, response.is_ok(), now - started
             )
         )
 
--- a/src/almondshift/node/entries.py
+++ b/src/almondshift/node/entries.py
@@ -42,7 +42,7 @@
         self.rng = rng
         self.leaving = False
 
-    def answer(self, account: str) -> gateway.Entries:
+    def entries_for(self, account: str) -> gateway.Entries:
         """Returns the addresses for an account (``""`` if not known)."""
         nodes = [self._own(), *self._peers()]
         zones = {node.address: node.zone for node in nodes}
@@ -90,7 +90,7 @@
 
 
 def _age_s(peer: peer_types.PeerInfo) -> float:
-    """Returns an age beyond the staleness limit for suspects only.
+    """Returns an age beyond the staleness limit for a suspect, else 0.
 
     The time between heartbeats of a node depends on the number of nodes, so
     the failure detection of the membership decides, not a number of seconds.
--- a/src/almondshift/node/gateway.py
+++ b/src/almondshift/node/gateway.py
@@ -32,8 +32,8 @@
     """Serves callers through the components of a node.
 
     Attributes:
-        expected_s: Returns the expected seconds of an answer of a service
-            with a number of tokens; 0.0 while that is not known.
+        expected_s: Returns the expected response time of a service for a
+            number of tokens, in seconds; 0.0 while that is not known.
         current: The configuration in force.
         key_table: Bearer keys of ``current``.
     """
@@ -101,7 +101,7 @@
     def _with_other_addresses(
         self, error: errors.NodeLeaving
     ) -> errors.NodeLeaving:
-        found = self.entry_list.answer("").addresses
+        found = self.entry_list.entries_for("").addresses
         names = ", ".join(entry.address for entry in found)
         if names:
             error.remedy = f"Use another address: {names}."
@@ -109,7 +109,7 @@
 
     def entries(self, account: str) -> gateway.Entries:
         """Returns the addresses for an account."""
-        return self.entry_list.answer(account)
+        return self.entry_list.entries_for(account)
 
     async def complete(
         self, request: requests.CompletionRequest
@@ -176,16 +176,16 @@
     async def _call_once(
         self, request: gateway.PlainRequest, service: fleets.Service
     ) -> expression.Result[claim_rows.StoredResult, errors.AlmondshiftError]:
-        answer = await self.plain_service.call(
+        called = await self.plain_service.call(
             request, service.priority, idempotent=False
         )
-        match answer:
-            case expression.Result(tag="ok", ok=complete_answer):
+        match called:
+            case expression.Result(tag="ok", ok=response):
                 return expression.Ok(
                     claim_rows.StoredResult(
-                        complete_answer.status,
-                        complete_answer.content_type,
-                        complete_answer.body,
+                        response.status,
+                        response.content_type,
+                        response.body,
                     )
                 )
             case expression.Result(error=error):
--- a/src/almondshift/node/load_exchange.py
+++ b/src/almondshift/node/load_exchange.py
@@ -57,8 +57,9 @@
 STATE_TTL_S = 900.0
 STATE_REPUBLISH_INTERVAL_S = 300.0
 STATE_PUBLISH_DELAY_S = 3.0
-"""A node that knows no peer yet would consider itself the first watcher of
-all 820 engines and publish each of them."""
+"""Time from the start until states are published. Until a node knows its peers,
+it considers itself the first watcher of all 820 engines and would publish each
+of them."""
 
 ALIVE_REFRESH_INTERVAL_S = 0.5
 MAX_USAGE_ENTRIES = 20
@@ -142,7 +143,8 @@
         self.membership.subscribe(
             peers.FactKind.ACCOUNT_USE, self._on_usage_fact
         )
-        # A state received earlier is not published again for minutes.
+        # Peers publish a state again only after minutes, so those received
+        # before are applied now.
         for key, fact in self.membership.facts(state_kind).items():
             self.membership.notify_subscribers(state_kind, key, fact)
 
@@ -182,7 +184,7 @@
         return min(MAX_VALUE_BYTES, max(MIN_VALUE_BYTES, each))
 
     def publish(self) -> None:
-        """Publishes the facts that are due; a failed one skips no other."""
+        """Publishes the facts that are due; a failure does not skip others."""
         now = self.clock.monotonic()
         if (
             now - self._usage_published_at
@@ -316,8 +318,8 @@
         if now < self._publish_states_from:
             return
         own = {report.endpoint: report for report in self._own_reports()}
-        # Forgets engines that another node publishes now: its states have
-        # replaced those that this node published earlier.
+        # Drops engines that another node publishes now: the states published
+        # by that node have replaced those that this node published earlier.
         kept = {n: t for n, t in self._published_states.items() if n in own}
         self._published_states = kept
         for name, report in own.items():
--- a/src/almondshift/node/objectives.py
+++ b/src/almondshift/node/objectives.py
@@ -56,7 +56,8 @@
 class Ring:
     """The newest buckets of one width.
 
-    A window may overlap one bucket more than its length.
+    A window that starts within a bucket includes that whole bucket, so it
+    overlaps one bucket more than fit into its length.
     """
 
     def __init__(self, bucket_s: float, buckets: int) -> None:
--- a/src/almondshift/node/pipeline.py
+++ b/src/almondshift/node/pipeline.py
@@ -71,7 +71,7 @@
 
     @abc.abstractmethod
     def cancel_session(self, endpoint: str, session: str) -> None:
-        """Cancels a session without waiting for the answer."""
+        """Cancels a session without waiting for the response."""
 
     @abc.abstractmethod
     async def move_kv(
@@ -159,7 +159,7 @@
 
         The router's error only says that no endpoint is left. Whether the
         caller may be told "not run" depends on whether an engine ran a step,
-        which follows from the answers received here.
+        which follows from the responses received here.
         """
         error.execution = self.execution
         repeatable = self.request.idempotent
@@ -180,7 +180,7 @@
     def known_execution(self) -> errors.Execution:
         """Returns what is known of execution at this moment.
 
-        A step without an answer may be running.
+        A step that got no response yet may be running.
         """
         if self._is_stepping and self.execution is errors.Execution.NOT_RUN:
             return errors.Execution.UNKNOWN
@@ -270,12 +270,12 @@
         if started >= self.request.deadline:
             raise errors.DeadlineExceeded("The deadline passed.")
         self._is_stepping = True
-        answer = await self.calls.step(run.stage.endpoint, item)
+        outcome = await self.calls.step(run.stage.endpoint, item)
         self._is_stepping = False
         run.calls += 1
         run.seconds += self.clock.monotonic() - started
-        self._note_execution(answer)
-        match answer:
+        self._note_execution(outcome)
+        match outcome:
             case expression.Result(tag="ok", ok=result):
                 return result
             case expression.Result(error=error):
@@ -284,14 +284,14 @@
                 raise StageLost(_reason(error))
 
     def _note_execution(
-        self, answer: expression.Result[steps.StepResult, engines.EngineError]
+        self, outcome: expression.Result[steps.StepResult, engines.EngineError]
     ) -> None:
         if self.execution is errors.Execution.RAN:
             return
-        if answer.is_ok():
-            if answer.ok.status is steps.StepStatus.OK:
+        if outcome.is_ok():
+            if outcome.ok.status is steps.StepStatus.OK:
                 self.execution = errors.Execution.RAN
-        elif isinstance(answer.error, errors.EndpointOutcomeUnknown):
+        elif isinstance(outcome.error, errors.EndpointOutcomeUnknown):
             self.execution = errors.Execution.UNKNOWN
 
     def _item(
@@ -406,10 +406,10 @@
         )
         left = self.request.deadline - self.clock.monotonic()
         try:
-            answer = await asyncio.wait_for(self.calls.replace(failure), left)
+            replaced = await asyncio.wait_for(self.calls.replace(failure), left)
         except TimeoutError:
             raise errors.DeadlineExceeded("The deadline passed.") from None
-        match answer:
+        match replaced:
             case expression.Result(tag="ok", ok=replacement):
                 return replacement
             case expression.Result(error=error):
@@ -439,10 +439,10 @@
             return
         self.epoch += 1
         moved = self._open(target[0])
-        held = await self.calls.move_kv(
+        copied_positions = await self.calls.move_kv(
             endpoint, run.session, target[0].endpoint, moved.session
         )
-        if held != run.done:
+        if copied_positions != run.done:
             self.calls.cancel_session(target[0].endpoint, moved.session)
             return
         moved.done = run.done
@@ -453,17 +453,17 @@
         self.runs[index] = moved
 
     def _note_recovery(self) -> None:
-        lost = self._pending_recovery
-        if lost is None:
+        recovery = self._pending_recovery
+        if recovery is None:
             return
         self._pending_recovery = None
         self.recoveries.append(
             completions.Recovery(
-                endpoint=lost.endpoint,
-                replacement=lost.replacement,
-                seconds=self.clock.monotonic() - lost.at,
-                replayed_positions=lost.replayed,
-                restarted=lost.restarted,
+                endpoint=recovery.endpoint,
+                replacement=recovery.replacement,
+                seconds=self.clock.monotonic() - recovery.at,
+                replayed_positions=recovery.replayed,
+                restarted=recovery.restarted,
             )
         )
 
--- a/src/almondshift/node/plain_calls.py
+++ b/src/almondshift/node/plain_calls.py
@@ -54,7 +54,7 @@
         priority: fleet.Priority,
         idempotent: bool,
     ) -> PlainResult:
-        """Calls until there is an answer or no safe retry is left.
+        """Calls until there is a response or no safe retry is left.
 
         A call with an unknown outcome is retried only if idempotent:
         otherwise a pause notice, for example, could take effect twice.
@@ -76,8 +76,8 @@
         error: errors.AlmondshiftError | None = None
         for _ in range(MAX_ATTEMPTS):
             match await self._try_once(request, priority, idempotent):
-                case expression.Result(tag="ok", ok=answer):
-                    return expression.Ok(answer)
+                case expression.Result(tag="ok", ok=response):
+                    return expression.Ok(response)
                 case expression.Result(error=error):
                     if not _may_retry(error, idempotent):
                         break
@@ -158,18 +158,18 @@
             repeatable=idempotent,
         )
         async with self.guard.call_slot(endpoint, request.request_id):
-            answer = await self.service.call(address, call)
-            self._notify_router(request, completed=answer.is_ok())
-            match answer:
-                case expression.Result(tag="ok", ok=complete_answer):
+            outcome = await self.service.call(address, call)
+            self._notify_router(request, completed=outcome.is_ok())
+            match outcome:
+                case expression.Result(tag="ok", ok=response):
                     self.guard.plain_answered(endpoint, request.request_id)
-                    return expression.Ok(complete_answer)
+                    return expression.Ok(response)
                 case expression.Result(error=error):
                     await self.guard.plain_failed(
                         endpoint, request.request_id, error
                     )
                     return expression.Error(error)
-        raise AssertionError(answer)
+        raise AssertionError(outcome)
 
     def _notify_router(
         self, request: gateway.PlainRequest, *, completed: bool
--- a/src/almondshift/node/reconciler.py
+++ b/src/almondshift/node/reconciler.py
@@ -41,9 +41,9 @@
     Attributes:
         plan_interval_s: Seconds between reconciliations.
         replan_s_per_engine: An unchanged state is planned again after this
-            many seconds for each engine, since the number of sessions is not
-            part of the state. In a small fleet planning is cheap, so it
-            replans sooner.
+            time multiplied by the number of engines, since the number of
+            sessions is not part of the state. Planning for few engines is
+            cheap, so a small fleet is planned again sooner.
         resend_interval_s: Seconds after which an order is sent again to an
             engine that doesn't report the ordered state.
     """
@@ -178,10 +178,10 @@
 
         A holder that was paused between plan and order may have lost its
         lease, and its order would undo the new holder's decisions. The lease
-        is therefore checked directly before the call. Engines that check the
-        fencing token refuse an order that is late nevertheless; others are
-        corrected by the new holder's next plan, since routing follows their
-        reports.
+        is therefore checked directly before the call. If an order is late
+        nevertheless, engines that check the fencing token refuse it. Others
+        run it and are corrected by the new holder's next plan; until then
+        routing follows what they report.
         """
         engine = self.directory.engine(order.endpoint)
         fencing = self.guard.fencing()
--- a/src/almondshift/node/shared_vm_list.py
+++ b/src/almondshift/node/shared_vm_list.py
@@ -66,8 +66,8 @@
         names = [peer.name for peer in self.membership.peers()]
         self.rng.shuffle(names)
         for name in names[:MAX_PEERS_ASKED]:
-            answer = await self.membership.ask(name, TOPIC, b"", ASK_TIMEOUT_S)
-            found = _decode(answer.ok) if answer.is_ok() else None
+            reply = await self.membership.ask(name, TOPIC, b"", ASK_TIMEOUT_S)
+            found = _decode(reply.ok) if reply.is_ok() else None
             if found:
                 return found
         return None
@@ -92,7 +92,7 @@
 
     Args:
         platform: The platform's own list.
-        membership: Used to query peers and to answer them.
+        membership: Used to query peers and to reply to them.
         rng: Selects the peers to query.
     """
     return SharedVmList(platform, membership, rng)
--- a/src/almondshift/node/stage_calls.py
+++ b/src/almondshift/node/stage_calls.py
@@ -118,8 +118,8 @@
                 moved = dataclasses.replace(snapshot, session=new_session)
             case _:
                 return 0
-        answer = await destination.import_kv(moved)
-        return moved.length if answer.is_ok() else 0
+        imported = await destination.import_kv(moved)
+        return moved.length if imported.is_ok() else 0
 
     def is_leaving(self, endpoint: str) -> bool:
         """Returns whether the directory knows that an endpoint is leaving."""
--- a/src/almondshift/node/step_queue.py
+++ b/src/almondshift/node/step_queue.py
@@ -2,8 +2,8 @@
 
 The results of a call arrive when all of its items have run, so a long prompt
 would delay the tokens of all other requests in the call. Long inputs are
-therefore split into portions, and the tokens of a call are limited: it takes
-items of one token first and fills the rest with portions of long ones.
+therefore split into portions, and the tokens of a call are limited: a call
+takes items of one token first and fills the rest with portions of long ones.
 """
 
 from __future__ import annotations
--- a/tests/node/test_gateway.py
+++ b/tests/node/test_gateway.py
@@ -35,7 +35,7 @@
             mock.Mock(),
         )
         listed = mock.create_autospec(entries.EntryList, instance=True)
-        listed.answer.return_value = ports.Entries((PEER,), 2.0)
+        listed.entries_for.return_value = ports.Entries((PEER,), 2.0)
         self.gateway = gateway.NodeGateway(
             mock.create_autospec(completions.CompletionService, instance=True),
             mock.create_autospec(plain_calls.PlainCalls, instance=True),
