--- a/tests/coordination/crashing.py
+++ b/tests/coordination/crashing.py
@@ -76,7 +76,7 @@
         return self.lost_since(0.0)
 
     def lost_since(self, since: float) -> list[str]:
-        """Returns the endpoints that it crashed after a time."""
+        """Returns the endpoints that the request crashed after a time."""
         return [
             endpoint
             for at, endpoint in self.losses
@@ -130,7 +130,7 @@
         task.add_done_callback(self.tasks.discard)
 
     async def request(self, node: str, name: str) -> None:
-        """Runs a caller's request until it is answered or convicted."""
+        """Runs a caller's request and records its outcome."""
         self.outcomes[name] = "waiting"
         self.outcomes[name] = await self.serve(node, name)
 
--- a/tests/coordination/network.py
+++ b/tests/coordination/network.py
@@ -79,7 +79,8 @@
 
     Attributes:
         drop_rate: Share of messages lost, in each direction.
-        groups: Partition of each address; only equal ones are connected.
+        groups: Partition of each address; only addresses in the same one are
+            connected.
         frozen: Addresses of frozen processes.
         waiting: Messages that wait for frozen processes.
         sent_bytes: Bytes sent by address; None to disable counting.
@@ -112,9 +113,9 @@
         if receiver in self.frozen:
             self.waiting.append((receiver, message))
             return None
-        answer = await self.handlers[receiver](message)
-        self.count_bytes(receiver, answer)
-        return None if self.drops_message() else answer
+        reply = await self.handlers[receiver](message)
+        self.count_bytes(receiver, reply)
+        return None if self.drops_message() else reply
 
     def count_bytes(self, sender: str, message: peers.PeerMessage) -> None:
         """Counts the encoded size of a message."""
@@ -156,12 +157,12 @@
         self, address: str, message: peers.PeerMessage, timeout_s: float
     ) -> expression.Result[peers.PeerMessage, errors.PeerUnreachable]:
         del timeout_s
-        answer = await self.simulated_network.deliver(
+        reply = await self.simulated_network.deliver(
             self.address, address, message
         )
-        if answer is None:
+        if reply is None:
             return expression.Error(errors.PeerUnreachable("lost"))
-        return expression.Ok(answer)
+        return expression.Ok(reply)
 
 
 class Cluster:
--- a/tests/coordination/tables.py
+++ b/tests/coordination/tables.py
@@ -13,7 +13,7 @@
 
     Attributes:
         is_down: Whether calls fail before they have any effect.
-        loses_answers: Whether writes take effect but their answers are lost.
+        loses_answers: Whether writes take effect but the responses are lost.
     """
 
     def __init__(self) -> None:
--- a/tests/coordination/test_claims.py
+++ b/tests/coordination/test_claims.py
@@ -213,7 +213,7 @@
     ],
 )
 def test_insert_fails(outcomes: list[Outcome], claimed: bool) -> None:
-    # The store refuses the insert or its answer is lost. The node finds its
+    # The store refuses the insert or its response is lost. The node finds its
     # own attempt in the row and dispatches, or abandons the attempt: then the
     # caller gets "not run", and the same key can run through another node.
     async def case() -> None:
--- a/tests/coordination/test_drain.py
+++ b/tests/coordination/test_drain.py
@@ -66,9 +66,9 @@
 ) -> None:
     """A caller that was just given the node's address must still be served.
 
-    The node is no longer listed at once, accepts requests while callers may
-    have its address cached, then refuses with not_run. A long request keeps
-    it open.
+    The node is removed from the list at once, accepts requests while callers
+    may have its address cached, and then refuses them with not_run. A long
+    request keeps it open.
     """
 
     async def scenario() -> None:
--- a/tests/coordination/test_grouped_writes.py
+++ b/tests/coordination/test_grouped_writes.py
@@ -89,7 +89,7 @@
     in_flight: int,
 ) -> None:
     # Callers write again in the same event loop iteration in which they get
-    # their answers. The commit tasks have found the queue empty but are not
+    # their results. The commit tasks have found the queue empty but are not
     # yet removed from the task set; if they counted as active, the new writes
     # would wait forever unless another write followed.
     async def case() -> None:
--- a/tests/coordination/test_lease.py
+++ b/tests/coordination/test_lease.py
@@ -82,7 +82,7 @@
 
 
 def test_process_that_may_not_contend_rarely_checks_again() -> None:
-    """Otherwise each of hundreds of nodes would list all others 10 times/s."""
+    """Each check lists all nodes; hundreds would do that 10 times/s."""
 
     async def case() -> None:
         cluster = Cluster(rates=(1.0,))
@@ -115,8 +115,9 @@
 def test_holder_renews_by_one_call() -> None:
     """Reads by the holder would double the load of a lease on the store.
 
-    The holder renews on its own last revision. After a renewal whose answer is
-    lost it reads the row, and keeps its grant with the same fencing token.
+    The holder's write is conditional on its own last revision. After a renewal
+    whose response is lost it reads the row, and keeps its grant with the same
+    fencing token.
     """
 
     async def case() -> None:
@@ -170,8 +171,9 @@
     frozen_s: float,
 ) -> None:
     # The renewal takes effect, but the holder is frozen before it gets the
-    # answer. When it thaws, it may act only for the rest of the duration since
-    # it sent the request, since contenders may count their wait from then on.
+    # response. When it thaws, it may act only for the rest of the duration,
+    # counted from when it sent the request, since contenders may count their
+    # wait from then on.
     async def case() -> None:
         cluster = Cluster()
         first = cluster.leases[0]
@@ -209,7 +211,7 @@
 
 @pytest.mark.parametrize("lost", [Outcome.LOST, Outcome.LATE])
 def test_lost_answer_is_read_back_by_own_token(lost: Outcome) -> None:
-    # The answer to the acquisition is lost after it took effect. The holder
+    # The response to the acquisition is lost after it took effect. The holder
     # finds its own token and has a grant with the first request's deadline.
     async def case() -> None:
         cluster = Cluster()
--- a/tests/coordination/test_membership.py
+++ b/tests/coordination/test_membership.py
@@ -52,7 +52,8 @@
     """An urgent fact must not wait for the next regular round.
 
     Only nodes that were woken exchange. If each did so only once, nodes that
-    by chance none of them chose would keep dispatching to a leaving endpoint.
+    none of them happened to choose would keep dispatching to a leaving
+    endpoint.
     """
 
     async def scenario() -> None:
@@ -93,7 +94,7 @@
 
 
 def test_node_that_starts_later_does_not_list_a_silent_peer_as_alive() -> None:
-    """Otherwise new nodes would send callers to a VM that is gone.
+    """A new node must not send callers to a VM that is gone.
 
     A node stops; some seconds later another starts and learns of the live
     nodes and of the stopped one, whose fact is still valid. On every node its
--- a/tests/coordination/test_over_platform.py
+++ b/tests/coordination/test_over_platform.py
@@ -83,7 +83,7 @@
     switch: faults.Switch,
 ) -> None:
     # Ten requests are sent through two nodes at once while the platform loses
-    # answers after writes took effect. Each key is dispatched at most once,
+    # responses after writes took effect. Each key is dispatched at most once,
     # and whoever gets "finished" gets the result of that run.
     async def case(platform: server.PlatformServer, stores: Stores) -> None:
         platform.state.faults.set(switch)
@@ -136,7 +136,7 @@
 
 
 def test_apply_with_a_lost_answer_is_active_on_all_nodes() -> None:
-    # The answer to an apply is lost after the write took effect. The
+    # The response to an apply is lost after the write took effect. The
     # operator gets the accepted version, and another node applies it soon.
     async def case(platform: server.PlatformServer, stores: Stores) -> None:
         first, second = create_config(stores), create_config(stores)
--- a/tests/coordination/test_quarantine.py
+++ b/tests/coordination/test_quarantine.py
@@ -34,10 +34,10 @@
 ) -> None:
     """A request crashes its endpoints, and its caller tries each node in turn.
 
-    n0 sees the first crash; the caller gives up on it and retries through n1,
+    n0 sees the first crash; the caller gives up on n0 and retries through n1,
     then n2, before and after these learn of the crash. Other requests run
     concurrently. At most two endpoints are lost, the request is refused in
-    the end, and all other callers get their answers.
+    the end, and all other callers get their responses.
     """
 
     async def scenario() -> None:
--- a/tests/coordination/test_silent_peers.py
+++ b/tests/coordination/test_silent_peers.py
@@ -64,7 +64,7 @@
 async def test_a_false_report_does_not_make_a_live_node_suspect() -> None:
     """A node that is slow must not withhold live nodes from all callers.
 
-    It reports that two peers are silent; the others probe these, get answers
+    It reports that two peers are silent; the others probe these, get replies
     and keep them alive.
     """
     cluster = await network.create_cluster(9)
@@ -79,7 +79,7 @@
 
 @asynchronous.run
 async def test_a_thawed_node_is_alive_again_after_its_heartbeat() -> None:
-    """Otherwise a thawed node would get no callers for a minute.
+    """A thawed node must not be without callers for a minute.
 
     Calls to it failed while it was frozen. In a large group it calls each
     peer only once a minute, but its heartbeat reaches all within seconds.
--- a/tests/coordination/test_starting_together.py
+++ b/tests/coordination/test_starting_together.py
@@ -47,7 +47,7 @@
 def test_nodes_that_start_together_discover_each_other_in_time(
     size: int, seed: int
 ) -> None:
-    """Otherwise each node would act as the only one of the group.
+    """Nodes that start together must not act as single nodes for long.
 
     Each would follow the store alone, and callers would get only its address.
     """
@@ -78,7 +78,7 @@
 
 
 def test_non_member_addresses_are_called_rarely_after_the_start() -> None:
-    """Otherwise each node would call nodes that are gone in every round."""
+    """Nodes must not call nodes that are gone in every round."""
 
     async def scenario() -> None:
         settings = dataclasses.replace(SETTINGS, seed_interval_s=10.0)
--- a/tests/coordination/test_versioned_config.py
+++ b/tests/coordination/test_versioned_config.py
@@ -82,7 +82,7 @@
     expected: type[errors.AlmondshiftError] | None,
     stored: bool,
 ) -> None:
-    # The store refuses, loses an answer after the write took effect, or
+    # The store refuses, loses a response after the write took effect, or
     # drops the write. The operator gets "accepted" only for a text that is
     # stored, "unavailable" only for one that is not, and otherwise "unknown"
     # with the change id to retry with.
--- a/tests/node/fake_stages.py
+++ b/tests/node/fake_stages.py
@@ -58,7 +58,7 @@
 
     Attributes:
         failures: The kind of failure by step number, counted from 0:
-            ``unknown`` (ran, answer lost), ``unreachable``, ``leaving``,
+            ``unknown`` (ran, response lost), ``unreachable``, ``leaving``,
             ``refused`` (does not hold the layers), ``wrong`` (session
             unknown) or ``split`` (as ``unknown``, and two endpoints replace
             the failed one).
--- a/tests/node/test_coalescer.py
+++ b/tests/node/test_coalescer.py
@@ -34,8 +34,8 @@
     return rigs.make_item(tuple(range(size)), session=session, **fields)
 
 
-def answer(item: steps.StepItem, status: Status = Status.OK) -> Any:
-    """Answers an item; each output is its input plus 1,000."""
+def make_result(item: steps.StepItem, status: Status = Status.OK) -> Any:
+    """Returns the result of an item; each output is its input plus 1,000."""
     outputs = tuple(value + 1000 for value in item.inputs)
     is_ok = status is Status.OK
     return item.answer(status, outputs if is_ok else ())
@@ -47,7 +47,7 @@
     Attributes:
         calls: Items of each call, in order.
         gates: One future for each call; its result is the call's result.
-        is_open: Whether calls are answered at once.
+        is_open: Whether calls return their results at once.
         call_timeout_s: Time-out of a call in seconds.
     """
 
@@ -101,7 +101,7 @@
             await self.wait_for_calls(number)
 
     def finish(self, index: int) -> None:
-        results = [answer(item) for item in self.calls[index]]
+        results = [make_result(item) for item in self.calls[index]]
         self.gates[index].set_result(expression.Ok(results))
 
     def finish_all(self) -> None:
@@ -251,7 +251,7 @@
             await rig.wait_for_calls(2)
         result: expression.Result[Any, Any] = expression.Error(failure)
         if isinstance(failure, Status):
-            result = expression.Ok([answer(rig.calls[-1][0], failure)])
+            result = expression.Ok([make_result(rig.calls[-1][0], failure)])
         rig.gates[-1].set_result(result)
         outcome = await task
 
@@ -288,7 +288,7 @@
     async with run_rig() as rig:
         tasks = [rig.submit(make_item(name)) for name in "ac"]
         await rig.wait_for_calls(1)
-        first, second = (answer(item) for item in rig.calls[0])
+        first, second = (make_result(item) for item in rig.calls[0])
         results = [second]
         if changes:
             results = [dataclasses.replace(first, **changes), second]
--- a/tests/node/test_directory.py
+++ b/tests/node/test_directory.py
@@ -95,7 +95,7 @@
         )
 
     def answer_as_instance(self, instance: str) -> None:
-        """Makes the engine answer as an instance that holds all layers."""
+        """Makes the engine respond as an instance that holds all layers."""
         described = fleets.seen("e").description
         assert described is not None
         self.engine.describe.return_value = expression.Ok(
@@ -207,10 +207,10 @@
 ) -> None:
     """An engine comes back under its name while the list is outdated.
 
-    The list shows the former one as leaving, perhaps a gap, then the new
-    one. The node knew that the engine stays, but kept passing its router the
-    last state in the list before the gap, so that callers were refused
-    indefinitely for lack of a complete chain.
+    The list shows the former instance as leaving, then perhaps no engine
+    (a gap), then the new instance. The node knew that the engine stays, but
+    kept passing its router the last state in the list before the gap, so that
+    callers were refused indefinitely for lack of a complete chain.
     """
     rig = Rig()
     await rig.start()
--- a/tests/node/test_gateway.py
+++ b/tests/node/test_gateway.py
@@ -19,7 +19,7 @@
 PEER = ports.EntryAddress("10.0.0.2:80", "za")
 TOKENS = 400
 TOKEN_S = 0.1
-"""Time per token in the node's recent answers."""
+"""Time per token in the node's recent responses."""
 
 
 class Rig:
--- a/tests/node/test_load_exchange.py
+++ b/tests/node/test_load_exchange.py
@@ -124,7 +124,7 @@
 def test_report_arrives_unchanged_with_increased_age() -> None:
     # A report published by a peer must reach the router unchanged, with the
     # transit time added to its age; otherwise stale loads would count as
-    # fresh. A report that failed to decode once ended the whole exchange.
+    # fresh. A report that failed to decode used to end the whole exchange.
     sender, receiver = _publisher_and_other()
     sender._publish_states()
     kind, key, value, ttl_s = sender.membership.publish.call_args.args
--- a/tests/node/test_pipeline.py
+++ b/tests/node/test_pipeline.py
@@ -117,7 +117,7 @@
 
 def test_recovery_without_kept_inputs_restarts_from_the_tokens() -> None:
     # Without memory for kept inputs the lost stage can't be replayed alone,
-    # so all stages before it run again from the tokens. The answer is the
+    # so all stages before it run again from the tokens. The tokens are the
     # same; only the time differs.
     stages = fake_stages.FakeStages(LAYERS, {20: "unknown"})
     work = _pipeline(stages, limit=0)
@@ -175,7 +175,7 @@
 
 def test_consecutive_refusals_back_off_exponentially() -> None:
     # Engines are being replaced, and those known to hold the stage refuse it
-    # until their reports catch up. The caller gets its answer a little late;
+    # until their reports catch up. The caller gets its tokens a little late;
     # immediate retries would use up the request's retries.
     refused = dict.fromkeys(range(3, 9), "refused")
     stages = fake_stages.FakeStages(LAYERS, refused)
--- a/tests/node/test_shared_vm_list.py
+++ b/tests/node/test_shared_vm_list.py
@@ -28,7 +28,7 @@
 
 
 class FakePlatform(vm_lists.VmList):
-    """Answers with ``vms``, or fails while it is None."""
+    """Returns ``vms``, or fails while it is None."""
 
     def __init__(self, vms: list[endpoints.Vm] | None) -> None:
         self.vms = vms
@@ -48,7 +48,7 @@
 
 
 class FakeMembership:
-    """One peer that answers with ``body``, or not at all if it is None."""
+    """One peer that replies with ``body``, or not at all if it is None."""
 
     def __init__(self, body: bytes | None) -> None:
         self.body = body
@@ -96,7 +96,7 @@
     """A node starts while the platform is unavailable.
 
     Without a peer's list it would know no endpoint and refuse its callers.
-    An empty or invalid answer of a peer must be ignored.
+    An empty or invalid reply of a peer must be ignored.
     """
     listed = await create(FakePlatform(None), FakeMembership(body)).list()
     assert listed.is_ok() == (found is not None)
--- a/tests/node/test_stop.py
+++ b/tests/node/test_stop.py
@@ -10,7 +10,7 @@
 
 @asynchronous.run
 async def test_hanging_store_does_not_delay_the_announcement() -> None:
-    """A node is stopped while the platform's store does not answer.
+    """A node is stopped while the platform's store does not respond.
 
     The node used to wait for the release of the control lease first.
     Meanwhile its peers kept listing it, and its grace period started later
