--- a/src/almondshift/coordination/claims.py
+++ b/src/almondshift/coordination/claims.py
@@ -3,7 +3,8 @@
 Before a request is dispatched, its key is claimed by a conditional insert.
 Only the attempt that holds the claim is dispatched; retries get the stored
 result, wait for it, or get an error that the outcome is unknown. A claim is
-taken over only if its claimant replies that it will never dispatch it.
+taken over only if the claimant itself replies that it will never dispatch the
+request.
 """
 
 from __future__ import annotations
@@ -319,8 +320,8 @@
         """Writes the claim, conditional on a revision; None to read again.
 
         The response may be lost after the write took effect. Reading again
-        finds this attempt in the row, or leads to another write, conditional
-        on the revision found. A second write is harmless for that reason.
+        finds this attempt in the row, or leads to a second write, which is
+        harmless, since it is conditional on the revision found.
         """
         writes = [
             claim_rows.claim_write(claim.key, claim.row, revision),
--- a/src/almondshift/coordination/fact_exchange.py
+++ b/src/almondshift/coordination/fact_exchange.py
@@ -213,7 +213,10 @@
     def republish(
         self, entry: fact_store.Entry, version: int, now: float
     ) -> None:
-        """Republishes an own fact with a version above the given one."""
+        """Republishes an own fact.
+
+        Its version is above the given one, which is from before a restart.
+        """
         generation_number = fact_store.generation(version) + 1
         if generation_number > fact_store.MAX_GENERATION:
             return
--- a/src/almondshift/coordination/facts.py
+++ b/src/almondshift/coordination/facts.py
@@ -248,7 +248,10 @@
             decrement_sends(self.pending_heartbeats, identity)
 
     def next_in_rotation(self, count: int, now: float) -> list[Entry]:
-        """Returns the next entries, up to ``count``, in rotation over calls."""
+        """Returns up to ``count`` live entries, each in turn.
+
+        The next call continues after the last entry returned.
+        """
         found: list[Entry] = []
         for _ in range(len(self.rotation)):
             if len(found) >= count:
--- a/src/almondshift/coordination/lease.py
+++ b/src/almondshift/coordination/lease.py
@@ -126,8 +126,9 @@
     """One process's participation in a lease.
 
     Attributes:
-        own_revision: Revision of this process's last write; None if that is
-            not known, which makes the next step read the row.
+        own_revision: Revision of this process's last write. None if that is
+            not known, e.g. while the outcome of a later write is unknown; the
+            next step then reads the row.
         holder: Name of the last known holder, ``""`` if none; for display.
         may_contend: Returns whether this process currently contends; a few
             of many suffice, and each causes reads.
