--- a/tests/node/test_gateway.py
+++ b/tests/node/test_gateway.py
@@ -19,7 +19,7 @@
 PEER = ports.EntryAddress("10.0.0.2:80", "za")
 TOKENS = 400
 TOKEN_S = 0.1
-"""Time per token in the node's recent answers."""
+"""Time per token in the node's recent responses."""
 
 
 class Rig:
@@ -35,7 +35,7 @@
             mock.Mock(),
         )
         listed = mock.create_autospec(entries.EntryList, instance=True)
-        listed.answer.return_value = ports.Entries((PEER,), 2.0)
+        listed.entries_for.return_value = ports.Entries((PEER,), 2.0)
         self.gateway = gateway.NodeGateway(
             mock.create_autospec(completions.CompletionService, instance=True),
             mock.create_autospec(plain_calls.PlainCalls, instance=True),
