--- a/src/almondshift/policy/engine_starts.py
+++ b/src/almondshift/policy/engine_starts.py
@@ -31,18 +31,18 @@
 One or two writes of a process that has ended may still arrive, seconds late."""
 
 
-class StartVerdict(enum.Enum):
-    """What happens to a row.
+class RowStatus(enum.Enum):
+    """How a registry row is classified, which decides whether it is applied.
 
-    STANDS: it is used; its start is the accepted one, or is accepted with this
-    row as a later start or as the first of its engine. An engine's first row is
-    also used without a start. LATE: it is dropped. OVERTURNS: it is used, and
-    its start replaces the accepted one.
+    CURRENT: it is applied; its start is the accepted one, or is accepted with
+    this row as a later start or as the first of its engine. An engine's first
+    row is also applied without a start. LATE: it is dropped. REPLACES: it is
+    applied, and its start replaces the accepted one.
     """
 
-    STANDS = "stands"
+    CURRENT = "stands"
     LATE = "late"
-    OVERTURNS = "overturns"
+    REPLACES = "overturns"
 
 
 @dataclasses.dataclass(slots=True)
@@ -111,9 +111,9 @@
         starts = self.by_engine.get(engine)
         return starts.accepted_start if starts is not None else 0
 
-    def judge(
+    def classify_row(
         self, engine: str, born_ms: int, revision: int, now: float
-    ) -> StartVerdict:
+    ) -> RowStatus:
         """Classifies a row, and records its start.
 
         Args:
@@ -126,16 +126,16 @@
         if starts is None:
             if born_ms:
                 self._remember(engine, _Starts(born_ms))
-            return StartVerdict.STANDS
+            return RowStatus.CURRENT
         self._remember(engine, starts)
         if starts.is_accepted_at_once(born_ms):
             starts.accepted_start = born_ms
             starts.pending = None
-            return StartVerdict.STANDS
+            return RowStatus.CURRENT
         if self._count_row(starts, born_ms, revision, now):
             starts.replace_with(born_ms)
-            return StartVerdict.OVERTURNS
-        return StartVerdict.LATE
+            return RowStatus.REPLACES
+        return RowStatus.LATE
 
     def _remember(self, engine: str, starts: _Starts) -> None:
         self.by_engine[engine] = starts
--- a/src/almondshift/relay/catalogue.py
+++ b/src/almondshift/relay/catalogue.py
@@ -233,14 +233,16 @@
         would restore layers that the new start does not hold.
         """
         former = self.starts.accepted_start(row.key)
-        verdict = self.starts.judge(row.key, engine.born_ms, row.revision, now)
-        if verdict is engine_starts.StartVerdict.LATE:
+        verdict = self.starts.classify_row(
+            row.key, engine.born_ms, row.revision, now
+        )
+        if verdict is engine_starts.RowStatus.LATE:
             event = log_events.StaleEndpointEntry(
                 row.key, engine.born_ms, former
             )
             log_events.emit(logger, event)
             return False
-        if verdict is engine_starts.StartVerdict.OVERTURNS:
+        if verdict is engine_starts.RowStatus.REPLACES:
             log_events.emit(
                 logger,
                 log_events.EndpointStartCorrected(
--- a/tests/policy/test_engine_starts.py
+++ b/tests/policy/test_engine_starts.py
@@ -4,9 +4,9 @@
 
 from almondshift.policy import engine_starts
 
-STANDS = engine_starts.StartVerdict.STANDS
-LATE = engine_starts.StartVerdict.LATE
-OVERTURNS = engine_starts.StartVerdict.OVERTURNS
+CURRENT = engine_starts.RowStatus.CURRENT
+LATE = engine_starts.RowStatus.LATE
+REPLACES = engine_starts.RowStatus.REPLACES
 
 StartRow = tuple[int, int, float]
 """Start of the engine, revision of the row, and time in seconds."""
@@ -15,22 +15,22 @@
 @pytest.mark.parametrize(
     ("rows", "expected"),
     [
-        ([(5, 1, 0.0), (9, 2, 1.0)], [STANDS, STANDS]),
-        ([(5, 1, 0.0), (9, 2, 1.0), (5, 3, 2.0)], [STANDS, STANDS, LATE]),
+        ([(5, 1, 0.0), (9, 2, 1.0)], [CURRENT, CURRENT]),
+        ([(5, 1, 0.0), (9, 2, 1.0), (5, 3, 2.0)], [CURRENT, CURRENT, LATE]),
         # Four rows in four seconds, with no row of the accepted start between.
         (
             [(9, 1, 0.0), *((5, r, r * 1.4) for r in range(2, 7))],
-            [STANDS, LATE, LATE, LATE, OVERTURNS, STANDS],
+            [CURRENT, LATE, LATE, LATE, REPLACES, CURRENT],
         ),
         # The same number at once is no proof: all of them may be late.
         (
             [(9, 1, 0.0), *((5, r, r * 0.1) for r in range(2, 9))],
-            [STANDS, *[LATE] * 7],
+            [CURRENT, *[LATE] * 7],
         ),
         # One row that is received again and again is no proof either.
         (
             [(9, 1, 0.0), *((5, 2, t * 1.0) for t in range(2, 20))],
-            [STANDS, *[LATE] * 18],
+            [CURRENT, *[LATE] * 18],
         ),
         # A row of the accepted start resets the count of rows of another start.
         (
@@ -45,25 +45,25 @@
                 (5, 8, 9.0),
                 (5, 9, 12.0),
             ],
-            [STANDS, LATE, LATE, LATE, STANDS, LATE, LATE, LATE, OVERTURNS],
+            [CURRENT, LATE, LATE, LATE, CURRENT, LATE, LATE, LATE, REPLACES],
         ),
         # Rows without a start show a live engine, too.
         (
             [(9, 1, 0.0), *((0, r, r * 2.0) for r in range(2, 7))],
-            [STANDS, LATE, LATE, LATE, OVERTURNS, STANDS],
+            [CURRENT, LATE, LATE, LATE, REPLACES, CURRENT],
         ),
         # Alternating rows of two starts are no proof of either.
         (
             [(9, 1, 0.0), *((5 + r % 2, r, r * 2.0) for r in range(2, 12))],
-            [STANDS, *[LATE] * 10],
+            [CURRENT, *[LATE] * 10],
         ),
     ],
 )
 def test_verdicts(
-    rows: list[StartRow], expected: list[engine_starts.StartVerdict]
+    rows: list[StartRow], expected: list[engine_starts.RowStatus]
 ) -> None:
     starts = engine_starts.create_engine_starts()
-    assert [starts.judge("i", *row) for row in rows] == expected
+    assert [starts.classify_row("i", *row) for row in rows] == expected
 
 
 def test_replaced_start_can_be_accepted_again() -> None:
@@ -73,16 +73,16 @@
     replaced reached the store. Then its rows arrive again.
     """
     starts = engine_starts.create_engine_starts()
-    starts.judge("i", 9, 1, 0.0)
-    earlier = [starts.judge("i", 5, r, r * 2.0) for r in range(2, 6)]
-    assert earlier[-1] is OVERTURNS
-    later = [starts.judge("i", 9, r, r * 2.0) for r in range(6, 10)]
-    assert later == [LATE, LATE, LATE, OVERTURNS]
-    assert starts.judge("i", 12, 10, 20.0) is STANDS
+    starts.classify_row("i", 9, 1, 0.0)
+    earlier = [starts.classify_row("i", 5, r, r * 2.0) for r in range(2, 6)]
+    assert earlier[-1] is REPLACES
+    later = [starts.classify_row("i", 9, r, r * 2.0) for r in range(6, 10)]
+    assert later == [LATE, LATE, LATE, REPLACES]
+    assert starts.classify_row("i", 12, 10, 20.0) is CURRENT
 
 
 def test_number_of_tracked_engines_is_bounded() -> None:
     starts = engine_starts.create_engine_starts()
     for number in range(engine_starts.MAX_TRACKED_ENGINES + 10):
-        starts.judge(f"i-{number}", 5, number, 0.0)
+        starts.classify_row(f"i-{number}", 5, number, 0.0)
     assert len(starts.by_engine) == engine_starts.MAX_TRACKED_ENGINES
