--- a/src/almondshift/policy/layer_holdings.py
+++ b/src/almondshift/policy/layer_holdings.py
@@ -44,7 +44,7 @@
     is_slow: bool = False
     step_factor: float = 1.0
     is_unanswered: bool = False
-    certain: model_layers.LayerRange | None = None
+    certain_layers: model_layers.LayerRange | None = None
 
 
 def engines_with_layers(
--- a/src/almondshift/policy/layer_plan.py
+++ b/src/almondshift/policy/layer_plan.py
@@ -113,8 +113,10 @@
     for engine in group:
         if not engine.is_unanswered:
             counted.append(engine)
-        elif engine.certain is not None:
-            counted.append(dataclasses.replace(engine, held=engine.certain))
+        elif engine.certain_layers is not None:
+            counted.append(
+                dataclasses.replace(engine, held=engine.certain_layers)
+            )
     return counted
 
 
--- a/src/almondshift/relay/layer_keeper.py
+++ b/src/almondshift/relay/layer_keeper.py
@@ -230,7 +230,7 @@
             held=pending.layers,
             is_busy=True,
             is_unanswered=pending.is_unanswered,
-            certain=certain_layers,
+            certain_layers=certain_layers,
         )
 
     def resend_orders(
--- a/tests/policy/test_layer_plan.py
+++ b/tests/policy/test_layer_plan.py
@@ -428,19 +428,19 @@
 
 def _unanswered(
     engine: layer_holdings.PlannedEngine,
-    certain: model_layers.LayerRange | None,
+    certain_layers: model_layers.LayerRange | None,
 ) -> layer_holdings.PlannedEngine:
     return dataclasses.replace(
-        engine, is_busy=True, is_unanswered=True, certain=certain
+        engine, is_busy=True, is_unanswered=True, certain_layers=certain_layers
     )
 
 
 @pytest.mark.parametrize(
-    ("certain", "missing"),
+    ("certain_layers", "missing"),
     [(None, range(27, 54)), ((27, 40), range(40, 54)), ((27, 54), range(0))],
 )
 def test_layers_an_engine_may_not_hold_are_assigned_to_others(
-    certain: tuple[int, int] | None, missing: range
+    certain_layers: tuple[int, int] | None, missing: range
 ) -> None:
     """A zone would refuse its callers until the engine answers its order.
 
@@ -453,7 +453,7 @@
         )
         for index, h in enumerate(held)
     ]
-    known = model_layers.LayerRange(*certain) if certain else None
+    known = model_layers.LayerRange(*certain_layers) if certain_layers else None
     chain[1] = _unanswered(chain[1], known)
     orders = layer_plan.plan_orders(chain, SPEC)
     assert "a1" not in {order.instance for order in orders}
