--- a/src/almondshift/policy/path_choice.py
+++ b/src/almondshift/policy/path_choice.py
@@ -178,7 +178,7 @@
         index = capacity_shares.draw_path(options, wanted, self.nodes, self.rng)
         return fitting[index]
 
-    def move(
+    def find_replacement(
         self,
         view: path_candidates.FleetView,
         path: relayed.Path,
--- a/src/almondshift/relay/stream_run.py
+++ b/src/almondshift/relay/stream_run.py
@@ -459,7 +459,7 @@
         avoid: frozenset[str] = frozenset()
         for _ in range(MAX_MOVE_ORDERS):
             now = self.shared.clock.monotonic()
-            chosen = self.shared.paths.move(
+            chosen = self.shared.paths.find_replacement(
                 view, attempt.path, self.tokens, now, avoid
             )
             if chosen is None or chosen.zone_changes:
--- a/tests/policy/test_path_choice.py
+++ b/tests/policy/test_path_choice.py
@@ -116,7 +116,7 @@
         0.0,
     ).path  # fmt: skip
     chooser.tracker.suspect("a2", engine_tracker.Suspicion.STALLED, 0.0)
-    moved = chooser.move(view, path, TOKENS, 0.0)
+    moved = chooser.find_replacement(view, path, TOKENS, 0.0)
     assert moved is not None
     assert moved.path[0] == path[0]
     assert moved.path[1] == path[1]
--- a/tests/policy/test_thousands_of_engines.py
+++ b/tests/policy/test_thousands_of_engines.py
@@ -73,7 +73,7 @@
         for engine in view.engines:
             if engine.instance != spare:
                 chooser.tracker.note_full(engine.instance, 0.0)
-    moved = chooser.move(view, chosen.path, small.TOKENS, 0.1)
+    moved = chooser.find_replacement(view, chosen.path, small.TOKENS, 0.1)
     assert moved is not None
     assert lost not in {part.instance for part in moved.path}
     for index in (0, 1, 3):
