--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -419,7 +419,7 @@
         lost = max(sorted(used), key=lambda instance: used[instance])
         moved += used[lost]
         start = time.process_time()
-        node.watch.moves.engine_lost(lost, engine_tracker.Suspicion.GONE)
+        node.watch.moves.on_engine_lost(lost, engine_tracker.Suspicion.GONE)
         while len(node.watch.work):
             await asyncio.sleep(0)
         node.choose()
--- a/src/almondshift/relay/application.py
+++ b/src/almondshift/relay/application.py
@@ -390,7 +390,7 @@
         log_events.emit(
             logger, log_events.EndpointRestarted(engine.instance, "registry")
         )
-        self.silence.moves.engine_lost(
+        self.silence.moves.on_engine_lost(
             engine.instance, engine_tracker.Suspicion.GONE
         )
         self.ports.engines.forget(engine.address)
--- a/src/almondshift/relay/engine_questions.py
+++ b/src/almondshift/relay/engine_questions.py
@@ -93,7 +93,7 @@
             log_events.emit(
                 logger, log_events.EndpointRestarted(instance, "report")
             )
-            self.moves.engine_lost(instance, engine_tracker.Suspicion.GONE)
+            self.moves.on_engine_lost(instance, engine_tracker.Suspicion.GONE)
         return None
 
     def query_paces(self, parts: dict[str, relayed.PathPart]) -> None:
@@ -155,7 +155,7 @@
             # Retried at once: the connection alone may have failed.
             report = await self.report(instance, address)
         if report is None:
-            self.moves.engine_lost(
+            self.moves.on_engine_lost(
                 instance, engine_tracker.Suspicion.UNREACHABLE
             )
             return
--- a/src/almondshift/relay/path_probe.py
+++ b/src/almondshift/relay/path_probe.py
@@ -187,7 +187,7 @@
         limit_s = SECOND_QUERY_S + 2 * QUERY_TIMEOUT_S + MAX_OVERRUN_S
         if self.loop.time() - self.started_at > limit_s:
             return
-        self.moves.engine_lost(
+        self.moves.on_engine_lost(
             part.instance, engine_tracker.Suspicion.UNREACHABLE
         )
         if self.shared.tracker.is_lost(part.instance):
--- a/src/almondshift/relay/silence_watch.py
+++ b/src/almondshift/relay/silence_watch.py
@@ -69,8 +69,8 @@
 
     async def start(self) -> None:
         """Starts to check streams and engines that peers report as dead."""
-        self.shared.lost.on_peer_report = self.check_reported
-        self.shared.lost.is_streaming = self.moves.is_streaming
+        self.shared.lost_engines.on_peer_report = self.check_reported
+        self.shared.lost_engines.is_streaming = self.moves.is_streaming
         self.work.repeat(
             stream_moves.CHECK_INTERVAL_S,
             self.check_all,
@@ -151,7 +151,7 @@
         for address in addresses:
             engine = self.shared.catalogue.by_address(address)
             if engine is not None:
-                self.moves.engine_lost(
+                self.moves.on_engine_lost(
                     engine.instance, engine_tracker.Suspicion.STALLED
                 )
         if not addresses:
@@ -163,7 +163,7 @@
         self.unanswered[first.instance] = count
         if count >= MAX_UNANSWERED:
             self.unanswered.pop(first.instance, None)
-            self.moves.engine_lost(
+            self.moves.on_engine_lost(
                 first.instance, engine_tracker.Suspicion.UNREACHABLE
             )
 
--- a/src/almondshift/relay/stream_moves.py
+++ b/src/almondshift/relay/stream_moves.py
@@ -63,7 +63,7 @@
             if isinstance(run, stream_run.StreamRun)
         ]
 
-    def engine_lost(
+    def on_engine_lost(
         self, instance: str, reason: engine_tracker.Suspicion
     ) -> None:
         """Ejects an engine that seems dead, and moves all streams off it."""
--- a/tests/relay/test_path_probe.py
+++ b/tests/relay/test_path_probe.py
@@ -146,7 +146,7 @@
     def streams(self) -> list[FakeRun]:
         return self.runs
 
-    def engine_lost(
+    def on_engine_lost(
         self, instance: str, reason: engine_tracker.Suspicion
     ) -> None:
         self.tracker.suspect(instance, reason, 0.0)
