--- a/src/almondshift/policy/engine_tracker.py
+++ b/src/almondshift/policy/engine_tracker.py
@@ -168,8 +168,8 @@
             Suspicion.DRAINING,
         )
 
-    def due_for_trial(self, now: float) -> list[str]:
-        """Returns suspect engines that may be probed again."""
+    def due_for_query(self, now: float) -> list[str]:
+        """Returns suspect engines that are due for another query."""
         return [
             instance
             for instance, state in self.states.items()
--- a/src/almondshift/relay/engine_questions.py
+++ b/src/almondshift/relay/engine_questions.py
@@ -165,7 +165,7 @@
 
     def query_suspects(self, now: float) -> None:
         """Queries the suspect engines that are due for it."""
-        for instance in self.shared.tracker.due_for_trial(now):
+        for instance in self.shared.tracker.due_for_query(now):
             engine = self.shared.catalogue.engines.get(instance)
             if engine is None:
                 self.shared.tracker.forget(instance)
