--- a/src/almondshift/policy/placement.py
+++ b/src/almondshift/policy/placement.py
@@ -58,7 +58,7 @@
 """Maximum bytes of weights that may be loading at once in the fleet."""
 _ZERO_RATE = 1e-9
 UNSET_FENCING = 0
-"""Planned orders carry no fencing number; the sender sets it."""
+"""Planned orders carry no fencing token; the sender sets it."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -81,7 +81,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlannedOrder:
-    """An order for an endpoint, before its fencing number is set."""
+    """An order for an endpoint, before its fencing token is set."""
 
     endpoint: str
     order: orders.Order
--- a/src/almondshift/policy/topology.py
+++ b/src/almondshift/policy/topology.py
@@ -7,7 +7,7 @@
 loaded.
 
 Only an endpoint's own report counts, because some endpoints ignore fencing
-numbers and the list of VMs lags behind.
+tokens and the list of VMs lags behind.
 
 The index is only updated by reports that change a holding, so an unchanged
 report costs the same with 8 or 820 engines.
