--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -258,16 +258,16 @@
             budget=cast("Any", types.SimpleNamespace(
                 spend=lambda *v: True, has_room=lambda *v: True
             )),
-            crashes=cast("Any", types.SimpleNamespace(
+            crash_watch=cast("Any", types.SimpleNamespace(
                 note_broken=lambda *v: None, is_refused=lambda *v: False
             )),
-            lost=lost_engines.create_lost_engines(
+            lost_engines=lost_engines.create_lost_engines(
                 self.clock, self.known, self.tracker, seen
             ),
-            refusing=cast("Any", None),
+            refusing_engines=cast("Any", None),
             observer=seen,
-            times=answer_times.create_answer_times(),
-            first_waits=first_event_wait.create_first_event_wait(),
+            response_times=answer_times.create_answer_times(),
+            first_event_waits=first_event_wait.create_first_event_wait(),
             drain=drain.NodeDrain(self.clock),
             registry_age_s=lambda: 0.0,
             engine_notice_s=2.0,
--- a/src/almondshift/relay/application.py
+++ b/src/almondshift/relay/application.py
@@ -165,14 +165,14 @@
                 ),
                 ports.clock.monotonic(),
             ),
-            crashes=crash_watch.create_crash_watch(ports.clock),
-            lost=lost,
-            refusing=refusing_engines.create_refusing_engines(
+            crash_watch=crash_watch.create_crash_watch(ports.clock),
+            lost_engines=lost,
+            refusing_engines=refusing_engines.create_refusing_engines(
                 ports.clock, self.catalogue, self.tracker, ports.engines, lost
             ),
             observer=relay_observer,
-            times=answer_times.create_answer_times(),
-            first_waits=first_event_wait.create_first_event_wait(),
+            response_times=answer_times.create_answer_times(),
+            first_event_waits=first_event_wait.create_first_event_wait(),
             drain=drain.NodeDrain(ports.clock),
             registry_age_s=self.engine_watch.age_s,
             engine_notice_s=settings.engines.notice_ms / MS_PER_S,
@@ -238,7 +238,7 @@
         await self.gateway.close()
         await self.keeper.close()
         await self.silence.close()
-        await self.shared.refusing.close()
+        await self.shared.refusing_engines.close()
         if self.group is not None:
             await self.group.close()
         await self.engine_watch.close()
@@ -270,9 +270,9 @@
             )
             watch.ask_peers = node_group.ask
         self.feed.group = node_group
-        self.shared.crashes.join(node_group)
-        self.shared.lost.join(node_group)
-        self.shared.refusing.join(node_group)
+        self.shared.crash_watch.join(node_group)
+        self.shared.lost_engines.join(node_group)
+        self.shared.refusing_engines.join(node_group)
         # Read before the first gossip exchange, which takes longer: the node
         # count is needed to share the load of callers that reconnect at once.
         await self.rows.peer_addresses()
@@ -322,7 +322,7 @@
                 logger, log_events.NodeResumed(round(suspended_s, 2))
             )
         self.catalogue.expire_removals(now)
-        self.shared.crashes.strikes.forget_old(now)
+        self.shared.crash_watch.strikes.forget_old(now)
         if self.group is not None:
             self.group.log_changes()
             nodes = self.update_node_counts(self.group)
@@ -403,8 +403,8 @@
         """
         self.silence.moves.on_engine_leaving(engine.instance)
         self.silence.forget(engine.instance)
-        self.shared.refusing.forget(engine.instance)
-        self.shared.crashes.endpoint_gone(engine.instance, engine.leaving)
+        self.shared.refusing_engines.forget(engine.instance)
+        self.shared.crash_watch.endpoint_gone(engine.instance, engine.leaving)
         self.tracker.forget(engine.instance)
         self.shared.endpoints.forget(engine.instance)
         if self.catalogue.by_address(engine.address) is None:
--- a/src/almondshift/relay/context.py
+++ b/src/almondshift/relay/context.py
@@ -48,12 +48,12 @@
     paths: path_choice.PathChooser
     endpoints: endpoint_choice.EndpointChooser
     budget: repeat_budget.RepeatBudget
-    crashes: crash_watch.CrashWatch
-    lost: lost_engines.LostEngines
-    refusing: refusing_engines.RefusingEngines
+    crash_watch: crash_watch.CrashWatch
+    lost_engines: lost_engines.LostEngines
+    refusing_engines: refusing_engines.RefusingEngines
     observer: observer.RelayObserver
-    times: answer_times.AnswerTimes
-    first_waits: first_event_wait.FirstEventWait
+    response_times: answer_times.AnswerTimes
+    first_event_waits: first_event_wait.FirstEventWait
     drain: drain.NodeDrain
     registry_age_s: Callable[[], float]
     engine_notice_s: float
--- a/src/almondshift/relay/engine_questions.py
+++ b/src/almondshift/relay/engine_questions.py
@@ -183,7 +183,7 @@
     ) -> None:
         """Uses a suspect again if it replies, or is healthy after draining."""
         if is_draining:
-            is_back = await self.shared.refusing.is_healthy(engine)
+            is_back = await self.shared.refusing_engines.is_healthy(engine)
         else:
             report = await self.report(engine.instance, engine.address)
             is_back = report is not None
--- a/src/almondshift/relay/gateway.py
+++ b/src/almondshift/relay/gateway.py
@@ -203,7 +203,7 @@
             errors.AlmondshiftError: The request is refused.
         """
         routed = self.route(request)
-        self.shared.crashes.check(routed)
+        self.shared.crash_watch.check(routed)
         self.shared.budget.note_request(
             routed.service, self.shared.clock.monotonic()
         )
--- a/src/almondshift/relay/plain_run.py
+++ b/src/almondshift/relay/plain_run.py
@@ -182,7 +182,7 @@
             seconds = self.loop.time() - attempt.sent_at
             if head.status < SERVER_ERROR and head.genuine:
                 self.shared.endpoints.answered(instance, seconds, now)
-                self.shared.crashes.note_answered(self.routed)
+                self.shared.crash_watch.note_answered(self.routed)
                 self.record_response_time()
                 self.pass_on(attempt, head)
                 return
@@ -195,7 +195,9 @@
             return
         self.shared.endpoints.failed(instance, now)
         if ending is path_engines.Ending.BROKEN:
-            self.shared.crashes.note_broken(self.routed, self.sends, instance)
+            self.shared.crash_watch.note_broken(
+                self.routed, self.sends, instance
+            )
         self.retry_or_end(attempt, reason, is_not_run=False)
 
     def handle_refusal(
--- a/src/almondshift/relay/runs.py
+++ b/src/almondshift/relay/runs.py
@@ -131,7 +131,7 @@
             if isinstance(run, Run)
             and run.routed.service == self.routed.service
         ]
-        expected_s = self.shared.times.expected_s(
+        expected_s = self.shared.response_times.expected_s(
             self.routed.service, self.expected_response_tokens(), unfinished
         )
         return expected_s <= left_s
@@ -144,7 +144,7 @@
         """
         if self.routed.request.last_event_id:
             return
-        self.shared.times.note(
+        self.shared.response_times.note(
             self.routed.service,
             self.expected_response_tokens(),
             self.loop.time() - self.started_at,
@@ -346,7 +346,7 @@
         route = self.routed.route
         if self.sends >= MAX_SENDS:
             return False
-        if self.shared.crashes.is_refused(self.routed):
+        if self.shared.crash_watch.is_refused(self.routed):
             return False
         if not is_not_run and not route.may_repeat:
             return False
--- a/src/almondshift/relay/status.py
+++ b/src/almondshift/relay/status.py
@@ -16,7 +16,7 @@
     now = shared.clock.monotonic()
     config = node.catalogue.config
     grant = node.keeper.lease.grant()
-    strikes = shared.crashes.strikes
+    strikes = shared.crash_watch.strikes
     return {
         "node": node.settings.node.name,
         "zone": node.settings.node.zone,
--- a/src/almondshift/relay/stream_moves.py
+++ b/src/almondshift/relay/stream_moves.py
@@ -67,7 +67,7 @@
         self, instance: str, reason: engine_tracker.Suspicion
     ) -> None:
         """Ejects an engine that seems dead, and moves all streams off it."""
-        self.shared.lost.suspect(instance, reason)
+        self.shared.lost_engines.suspect(instance, reason)
         if not self.shared.tracker.is_lost(instance):
             return
         for run in self.streams():
@@ -75,7 +75,9 @@
             if attempt is None:
                 continue
             if any(part.instance == instance for part in attempt.path):
-                self.shared.crashes.note_broken(run.routed, run.sends, instance)
+                self.shared.crash_watch.note_broken(
+                    run.routed, run.sends, instance
+                )
             if attempt.first.instance == instance:
                 is_gone = reason is engine_tracker.Suspicion.GONE
                 run.resume_elsewhere("first engine lost", is_gone)
--- a/src/almondshift/relay/stream_run.py
+++ b/src/almondshift/relay/stream_run.py
@@ -141,7 +141,7 @@
             self.responder.head_sent
             and route.may_repeat
             and (is_not_run or self.possible_runs < route.max_attempts)
-            and not self.shared.crashes.is_refused(self.routed)
+            and not self.shared.crash_watch.is_refused(self.routed)
         )
 
     def send(self, chosen: path_choice.ChosenPath) -> None:
@@ -175,7 +175,7 @@
         """Starts a timer to run the request elsewhere without a first event."""
         route = self.routed.route
         if not self.responder.head_sent and route.may_repeat:
-            wait_s = self.shared.first_waits.overdue_s(
+            wait_s = self.shared.first_event_waits.overdue_s(
                 self.routed.service, route.objective_s
             )
             self.first_event_timer = self.loop.call_later(
@@ -212,7 +212,7 @@
     ) -> None:
         """Records the time to the first event, or until it was given up."""
         seconds = self.loop.time() - attempt.sent_at
-        self.shared.first_waits.note(self.routed.service, seconds)
+        self.shared.first_event_waits.note(self.routed.service, seconds)
 
     def forward_events(
         self,
@@ -272,11 +272,11 @@
         is_not_run = ending is path_engines.Ending.NOT_SENT
         self.failed_engines |= {attempt.first.instance}
         if ending is path_engines.Ending.BROKEN:
-            self.shared.crashes.note_broken(
+            self.shared.crash_watch.note_broken(
                 self.routed, self.sends, attempt.first.instance
             )
         elif ending is path_engines.Ending.NOT_SENT:
-            self.shared.lost.suspect(
+            self.shared.lost_engines.suspect(
                 attempt.first.instance, engine_tracker.Suspicion.UNREACHABLE
             )
         self.retry_or_end(attempt, reason, is_not_run)
@@ -287,7 +287,7 @@
             assert attempt.head is not None
             self.responder.send_head(attempt.head.status, attempt.head.headers)
         self.shared.observer.attempts.labels("answered").inc()
-        self.shared.crashes.note_answered(self.routed)
+        self.shared.crash_watch.note_answered(self.routed)
         self.record_response_time()
         self.responder.finish()
         self.complete()
@@ -326,7 +326,7 @@
             if head.status == 421:
                 # The address belongs to another engine, or the engine does
                 # not hold the layers.
-                self.shared.lost.suspect(
+                self.shared.lost_engines.suspect(
                     part.instance, engine_tracker.Suspicion.REFUSED
                 )
             else:
@@ -341,7 +341,7 @@
         now = self.shared.clock.monotonic()
         self.shared.tracker.note_full(instance, now)
         self.shared.paths.nearly_full[instance] = address
-        self.shared.refusing.check(instance)
+        self.shared.refusing_engines.check(instance)
 
     def retry_or_end(
         self,
--- a/tests/platform/test_crashing_requests.py
+++ b/tests/platform/test_crashing_requests.py
@@ -87,7 +87,7 @@
                     any(
                         len(known) >= crash_strikes.MAX_STRIKES
                         for known in (
-                            process.node.shared.crashes.strikes.strikes.values()
+                            process.node.shared.crash_watch.strikes.strikes.values()
                         )
                     )
                     for process in running.nodes
--- a/tests/relay/test_lost_engines.py
+++ b/tests/relay/test_lost_engines.py
@@ -32,7 +32,9 @@
             dead = running.engines["a0"]
             dead.is_dead = True
             await dead.close()
-            first.lost.suspect("a0", engine_tracker.Suspicion.UNREACHABLE)
+            first.lost_engines.suspect(
+                "a0", engine_tracker.Suspicion.UNREACHABLE
+            )
             await running.until(lambda: second.tracker.is_suspect("a0"), 1.5)
             sent = [e for e in running.engines.values() if e is not dead]
             assert (await whole.chat(running, "r1", node=1))[0] == 200
@@ -54,7 +56,9 @@
             await running.wait_for_peers()
             seen: list[log_events.Event] = []
             second.observer.emit = seen.append  # type: ignore[method-assign]
-            first.lost.suspect("a0", engine_tracker.Suspicion.UNREACHABLE)
+            first.lost_engines.suspect(
+                "a0", engine_tracker.Suspicion.UNREACHABLE
+            )
             await running.until(
                 lambda: any(
                     isinstance(e, log_events.EndpointRechecked) for e in seen
