--- a/src/almondshift/relay/catalogue.py
+++ b/src/almondshift/relay/catalogue.py
@@ -23,16 +23,17 @@
 REMOVAL_GRACE_S = 1.8
 """Time after a store outage in which removals are held back, in seconds.
 Entries that expired during the outage are written again within about two
-seconds. This is slightly less, so that an engine that really left gets no work
-for longer than those two seconds."""
+seconds. The grace period is slightly shorter, so that an engine that really
+left gets work for at most those two seconds."""
 
 MAX_LOGGED_ENGINES = 20
-"""Maximum new engines of one registry read that get a log line each."""
+"""Maximum number of new engines in one registry read that are logged one by
+one."""
 
 LEFT = "left the registry"
 UNREADABLE = "its entry can't be read"
 RESTARTED = "started again"
-"""Reasons in the log for which an engine is gone."""
+"""Reasons that are logged when an engine is dropped."""
 
 logger = logging.getLogger(__name__)
 
@@ -59,12 +60,13 @@
 
 
 class Catalogue:
-    """Configuration and engines.
+    """The newest configuration and the registered engines.
 
     Attributes:
         config: The newest known configuration; None before the first.
         engines: Engines by instance, which identifies one start of an engine.
-        current_instances: The current instance by row key of the registry.
+        current_instances: The current instance of each engine, by row key of
+            the registry.
         version: Incremented with each change of the engines.
         unlogged: New engines that have not been logged yet.
         pending_removals: Monotonic time at which a removal that is held back
@@ -72,8 +74,8 @@
         on_config: Called after each new configuration.
         on_leaving: Called with an engine that starts to shut down.
         on_gone: Called with an engine that is gone.
-        on_restarted: Called with the previous start of an engine that
-            restarted under its name, before ``on_gone``.
+        on_restarted: Called with the previous instance of an engine that
+            restarted under the same name, before ``on_gone`` is called with it.
         on_engine: Called with an engine that is new or changed.
     """
 
@@ -168,7 +170,7 @@
         now: float,
         store_back_at: float,
     ) -> None:
-        """Applies a full read; entries that are missing in it were removed."""
+        """Applies a full read of the registry; rows not in it were removed."""
         present = {row.key for row in rows}
         for row in rows:
             self._apply_row(row, now, store_back_at)
@@ -232,21 +234,21 @@
         of the new one, and a peer may still hold the old row. Applying it
         would restore layers that the new start does not hold.
         """
-        former = self.starts.accepted_start(row.key)
-        verdict = self.starts.classify_row(
+        accepted_start = self.starts.accepted_start(row.key)
+        status = self.starts.classify_row(
             row.key, engine.born_ms, row.revision, now
         )
-        if verdict is engine_starts.RowStatus.LATE:
+        if status is engine_starts.RowStatus.LATE:
             event = log_events.StaleEndpointEntry(
-                row.key, engine.born_ms, former
+                row.key, engine.born_ms, accepted_start
             )
             log_events.emit(logger, event)
             return False
-        if verdict is engine_starts.RowStatus.REPLACES:
+        if status is engine_starts.RowStatus.REPLACES:
             log_events.emit(
                 logger,
                 log_events.EndpointStartCorrected(
-                    row.key, engine.born_ms, former
+                    row.key, engine.born_ms, accepted_start
                 ),
             )
         return True
@@ -254,20 +256,20 @@
     def _set_engine(
         self, key: str, engine: registered_engines.RegisteredEngine
     ) -> None:
-        former = self.engines.get(engine.instance)
-        if former == engine:
+        previous = self.engines.get(engine.instance)
+        if previous == engine:
             return
-        ended = self.engines.get(self.current_instances.get(key, ""))
-        if ended is not None and ended.instance != engine.instance:
+        replaced = self.engines.get(self.current_instances.get(key, ""))
+        if replaced is not None and replaced.instance != engine.instance:
             for callback in self.on_restarted:
-                callback(ended)
+                callback(replaced)
             self._drop(key, RESTARTED)
         self.current_instances[key] = engine.instance
         self.engines[engine.instance] = engine
-        self._changed()
-        if former is None:
+        self._record_change()
+        if previous is None:
             self.unlogged.append(engine)
-        if engine.leaving and (former is None or not former.leaving):
+        if engine.leaving and (previous is None or not previous.leaving):
             log_events.emit(
                 logger, log_events.EndpointLeaving(engine.instance, "registry")
             )
@@ -312,11 +314,11 @@
         engine = self.engines.pop(instance, None)
         if engine is None:
             return
-        self._changed()
+        self._record_change()
         log_events.emit(logger, log_events.EndpointGone(instance, reason))
         for callback in self.on_gone:
             callback(engine)
 
-    def _changed(self) -> None:
+    def _record_change(self) -> None:
         self.version += 1
         self.views.clear()
--- a/src/almondshift/relay/crash_watch.py
+++ b/src/almondshift/relay/crash_watch.py
@@ -1,4 +1,4 @@
-"""Refuses requests that crash every endpoint that runs them, on all nodes.
+"""Refuses, on all nodes, requests that crash every endpoint that runs them.
 
 Nothing reports which request crashed an endpoint: the node sees a broken
 connection, and some seconds later that the endpoint is gone. Nodes share which
@@ -25,16 +25,18 @@
     from almondshift.relay import group as relay_group
 
 FINGERPRINT_BYTES = 8
-"""At a million requests a day, two of one day share a fingerprint once in
-thirty million days. A collision leads to a refusal only after three crashes."""
+"""Size of a fingerprint. At a million requests a day, two requests of the same
+day share a fingerprint once in thirty million days. A collision leads to a
+refusal only after three crashes."""
 
 FINGERPRINTS_PER_FACT = 50
-"""Maximum fingerprints of 16 hex digits in one fact, whose limit is 1,500
-bytes."""
+"""Maximum number of fingerprints in one fact. Each has 16 hex digits, and a
+fact is limited to 1,500 bytes."""
 
 MAX_FACTS = 4
-"""Maximum facts about one crash. If more than 200 requests of a node were in
-flight, only this node counts the others."""
+"""Maximum number of facts about one crash. If more than 200 requests of this
+node were in flight, peers learn of 200, and only this node counts the
+others."""
 
 RETRY_AFTER_S = 60.0
 """Retry-After of a refused request, in seconds. Strikes last ten minutes, and
@@ -42,14 +44,16 @@
 
 CRASH = "crash"
 CLEARED = "cleared"
+"""Topics of facts, the first part of their keys: requests that an endpoint ran
+when it crashed, and requests that were answered successfully."""
 
-FINGERPRINTS = msgspec.json.Decoder(list[str])
+FINGERPRINTS_DECODER = msgspec.json.Decoder(list[str])
 
 logger = logging.getLogger(__name__)
 
 
 class CrashWatch:
-    """Counts strikes against requests, on this node and its peers.
+    """Counts strikes against requests, and exchanges them with peers.
 
     Attributes:
         group: The other nodes; None before this node has joined them.
@@ -91,7 +95,7 @@
     def note_broken(
         self, routed: routed_requests.RoutedRequest, sends: int, instance: str
     ) -> None:
-        """Records that an endpoint broke off while it ran a request.
+        """Records that an endpoint broke the connection of a request.
 
         Args:
             routed: The request.
@@ -110,8 +114,9 @@
         self.strikes.note_answered(fingerprint_of(routed), now)
 
     def endpoint_gone(self, instance: str, was_leaving: bool) -> None:
-        """Adds strikes for requests that broke off before an endpoint was gone.
+        """Adds strikes to the requests that an endpoint ran when it crashed.
 
+        These are the ones whose connection broke before the endpoint was gone.
         An endpoint that had announced its shutdown did not crash.
         """
         if was_leaving:
@@ -134,11 +139,11 @@
                 range(0, len(fingerprints), FINGERPRINTS_PER_FACT), MAX_FACTS
             )
         ):
-            part = list(fingerprints[start : start + FINGERPRINTS_PER_FACT])
+            chunk = list(fingerprints[start : start + FINGERPRINTS_PER_FACT])
             self.group.publish_fact(
                 peers.FactKind.QUARANTINE,
                 f"{topic}/{instance}/{self.group.name}/{index}",
-                msgspec.json.encode(part),
+                msgspec.json.encode(chunk),
                 crash_strikes.STRIKE_S,
             )
 
@@ -148,21 +153,26 @@
             return
         if fact.origin == self.group.name:
             return
+        # Keys have the form topic/instance/node/index.
         topic, _, rest = key.partition("/")
         instance = rest.partition("/")[0]
-        fingerprints = tuple(FINGERPRINTS.decode(fact.value))
+        fingerprints = tuple(FINGERPRINTS_DECODER.decode(fact.value))
         now = self.clock.monotonic()
         if topic == CLEARED:
             for fingerprint in fingerprints:
                 self.strikes.note_answered(fingerprint, now)
             return
-        name = f"{fact.origin}/{instance}"
+        strike_name = f"{fact.origin}/{instance}"
         self.log_convicted(
-            tuple(f for f in fingerprints if self.strikes.strike(f, name, now))
+            tuple(
+                f
+                for f in fingerprints
+                if self.strikes.strike(f, strike_name, now)
+            )
         )
-        good = self.strikes.known_good(fingerprints)
-        if good:
-            self.publish_fingerprints(CLEARED, instance, good)
+        answered = self.strikes.known_good(fingerprints)
+        if answered:
+            self.publish_fingerprints(CLEARED, instance, answered)
 
     def log_convicted(self, fingerprints: tuple[str, ...]) -> None:
         """Logs requests that are refused from now on."""
--- a/src/almondshift/relay/drain.py
+++ b/src/almondshift/relay/drain.py
@@ -25,7 +25,7 @@
         self.ends_at = math.inf
 
     def begin(self, hold_s: float, cut_after_s: float) -> None:
-        """Begins the shutdown.
+        """Begins the shutdown, and sets the times of its later steps.
 
         Args:
             hold_s: Time for which new requests are still accepted.
@@ -44,8 +44,8 @@
         """Returns whether new requests are refused.
 
         Compares with the clock when a request arrives. A timer that sets a
-        flag fires late if the event loop is busy, and requests accepted in the
-        meantime would have the least time to finish.
+        flag would fire late if the event loop is busy, and the requests that
+        are accepted until then would have the least time to finish.
         """
         return self.clock.monotonic() >= self.refuses_at
 
--- a/src/almondshift/relay/gateway.py
+++ b/src/almondshift/relay/gateway.py
@@ -33,12 +33,15 @@
 until then."""
 
 MAX_DENIAL_CONFIG_AGE_S = 0.5
-"""Maximum age of the configuration, in seconds, by which a key or route is
-denied; an older copy may lack a recent addition."""
+"""Maximum age of the configuration, in seconds, for denying a key or route; an
+older copy may lack one that was added recently."""
 
 CONFIRM_TIMEOUT_S = 0.4
+"""Time-out for confirming the configuration before a denial, in seconds."""
 
 STARTING_RETRY_S = 0.5
+"""Retry-After of requests that can't be served with the configuration that this
+node has, in seconds."""
 
 
 class PendingDenial(relays.ActiveRequest):
@@ -55,13 +58,16 @@
         self.run: relays.ActiveRequest | None = None
 
     def caller_gone(self) -> None:
-        """Stops, or notifies the run that was started."""
+        """Marks the caller as gone, and notifies the run if there is one."""
         self.gone = True
         if self.run is not None:
             self.run.caller_gone()
 
     def cut(self) -> None:
-        """Refuses the request, which was not sent anywhere yet."""
+        """Refuses the request if it has no run and has not ended.
+
+        Without a run, it was not sent to any endpoint.
+        """
         if self.run is None and not self.gone:
             self.gone = True
             self.refuse()
@@ -135,25 +141,25 @@
         try:
             return self.serve(request, responder)
         except (errors.MissingKey, errors.WrongKey, errors.UnknownService):
-            denied = PendingDenial(
+            denial = PendingDenial(
                 lambda: self.refuse(responder, node_leaving_error())
             )
-            self.shared.running.add(denied)
-            self.work.run(self.confirm_denial(request, responder, denied))
-            return denied
+            self.shared.running.add(denial)
+            self.work.run(self.confirm_denial(request, responder, denial))
+            return denial
         except errors.AlmondshiftError as error:
             self.refuse(responder, error)
             return RefusedRequest()
 
     def log_late_request(self, request: relayed.RelayedRequest) -> None:
         """Logs a request that arrived while this node is shutting down."""
-        stop = self.shared.drain
+        drain = self.shared.drain
         self.shared.observer.emit(
             log_events.RequestWhileDraining(
                 request_id=request.request_id,
-                draining_s=round(stop.since_s(), 3),
+                draining_s=round(drain.since_s(), 3),
                 connection_s=round(request.connection_s, 3),
-                left_s=round(stop.left_s(), 3),
+                left_s=round(drain.left_s(), 3),
             )
         )
 
@@ -161,7 +167,7 @@
         self,
         request: relayed.RelayedRequest,
         responder: relays.Responder,
-        denied: PendingDenial,
+        denial: PendingDenial,
     ) -> None:
         """Denies a request only if the configuration is confirmed as current.
 
@@ -177,11 +183,11 @@
         except TimeoutError:
             is_current = False
         finally:
-            self.shared.running.discard(denied)
-        if denied.gone:
+            self.shared.running.discard(denial)
+        if denial.gone:
             return
         try:
-            denied.run = self.serve(request, responder)
+            denial.run = self.serve(request, responder)
         except errors.AlmondshiftError as error:
             self.refuse(
                 responder, error if is_current else outdated_config_error()
@@ -190,7 +196,7 @@
     def refuse(
         self, responder: relays.Responder, error: errors.AlmondshiftError
     ) -> None:
-        """Responds with an error."""
+        """Responds with an error, and counts it by its kind."""
         self.shared.observer.ended.labels(error.kind).inc()
         responder.fail(error)
 
@@ -207,10 +213,10 @@
         self.shared.budget.note_request(
             routed.service, self.shared.clock.monotonic()
         )
-        make: Callable[..., runs.Run] = plain_run.PlainRun
+        create_run: Callable[..., runs.Run] = plain_run.PlainRun
         if self.shared.catalogue.view(routed.service) is not None:
-            make = stream_run.StreamRun
-        run = make(routed, responder, self.shared)
+            create_run = stream_run.StreamRun
+        run = create_run(routed, responder, self.shared)
         run.begin()
         return run
 
