--- a/src/almondshift/relay/engine_questions.py
+++ b/src/almondshift/relay/engine_questions.py
@@ -93,7 +93,7 @@
             log_events.emit(
                 logger, log_events.EndpointRestarted(instance, "report")
             )
-            self.moves.engine_lost(instance, engine_tracker.Suspicion.GONE)
+            self.moves.on_engine_lost(instance, engine_tracker.Suspicion.GONE)
         return None
 
     def query_paces(self, parts: dict[str, relayed.PathPart]) -> None:
@@ -155,7 +155,7 @@
             # Retried at once: the connection alone may have failed.
             report = await self.report(instance, address)
         if report is None:
-            self.moves.engine_lost(
+            self.moves.on_engine_lost(
                 instance, engine_tracker.Suspicion.UNREACHABLE
             )
             return
@@ -165,7 +165,7 @@
 
     def query_suspects(self, now: float) -> None:
         """Queries the suspect engines that are due for it."""
-        for instance in self.shared.tracker.due_for_trial(now):
+        for instance in self.shared.tracker.due_for_query(now):
             engine = self.shared.catalogue.engines.get(instance)
             if engine is None:
                 self.shared.tracker.forget(instance)
@@ -183,7 +183,7 @@
     ) -> None:
         """Uses a suspect again if it replies, or is healthy after draining."""
         if is_draining:
-            is_back = await self.shared.refusing.is_healthy(engine)
+            is_back = await self.shared.refusing_engines.is_healthy(engine)
         else:
             report = await self.report(engine.instance, engine.address)
             is_back = report is not None
