--- a/src/almondshift/adapters/curl_calls.py
+++ b/src/almondshift/adapters/curl_calls.py
@@ -246,8 +246,8 @@
         response = fetched.result()
         failure = response.error
         if failure is None or is_status_error(failure):
-            reply = Response(response.code, response.headers, response.body)
-            return expression.Ok(reply)
+            complete = Response(response.code, response.headers, response.body)
+            return expression.Ok(complete)
     if transfer.sent:
         return unknown_outcome_error(transfer.call, str(failure))
     return unreachable_error(transfer.call, str(failure))
--- a/src/almondshift/adapters/fleet_render.py
+++ b/src/almondshift/adapters/fleet_render.py
@@ -165,7 +165,7 @@
 
 
 def _order_changes(before: Rendered, after: Rendered) -> list[Change]:
-    """Compares the order: the first matching endpoint section applies."""
+    """Compares the order of endpoint sections, as the first match applies."""
     old = [s for s in before if s.startswith("endpoint ") and s in after]
     new = [s for s in after if s.startswith("endpoint ") and s in before]
     if old == new:
--- a/src/almondshift/adapters/http_caller.py
+++ b/src/almondshift/adapters/http_caller.py
@@ -142,11 +142,11 @@
             )
             if response.code != 200:
                 continue
-            answer = json.loads(response.body)
-            found = [entry["address"] for entry in answer["entries"]]
+            content = json.loads(response.body)
+            found = [entry["address"] for entry in content["entries"]]
             if found:
                 self.addresses = found
-                hold = float(answer["hold_seconds"])
+                hold = float(content["hold_seconds"])
                 self._entries_expire_at = time.monotonic() + hold
                 break
         return self.addresses
@@ -285,12 +285,12 @@
 def _tee(
     buffered: list[bytes], on_chunk: Callable[[bytes], None] | None
 ) -> Callable[[bytes], None]:
-    def take(content: bytes) -> None:
+    def handle_chunk(content: bytes) -> None:
         buffered.append(content)
         if on_chunk is not None and content:
             on_chunk(content)
 
-    return take
+    return handle_chunk
 
 
 def _is_unreachable(error: httpclient.HTTPError) -> bool:
--- a/src/almondshift/adapters/http_connections.py
+++ b/src/almondshift/adapters/http_connections.py
@@ -24,8 +24,8 @@
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_PROBES = 2
-"""A dead connection is detected within three seconds, so that a node reaches
-the store again as soon as it is expected to."""
+"""A dead connection is detected within three seconds, so that a node reconnects
+to the store within the time expected of it."""
 
 USER_TIMEOUT_MS = 1500
 """If bytes stay unacknowledged for this long, the network path is considered
@@ -335,10 +335,10 @@
 
     def acquire(self, address: str) -> Connection | None:
         """Takes the newest idle connection that is not about to expire."""
-        kept = self.idle.get(address)
+        pooled = self.idle.get(address)
         now = asyncio.get_running_loop().time()
-        while kept:
-            connection = kept.pop()
+        while pooled:
+            connection = pooled.pop()
             transport = connection.transport
             if (
                 connection.idle_until > now
@@ -353,16 +353,16 @@
         """Returns a connection to the pool for the next call."""
         now = asyncio.get_running_loop().time()
         connection.idle_until = now + idle_s
-        kept = self.idle.setdefault(connection.address, [])
-        while kept and kept[0].idle_until <= now:
-            kept.pop(0).drop()
-        kept.append(connection)
+        pooled = self.idle.setdefault(connection.address, [])
+        while pooled and pooled[0].idle_until <= now:
+            pooled.pop(0).drop()
+        pooled.append(connection)
 
     def remove(self, connection: Connection) -> None:
         """Removes a connection that was closed while it was idle."""
-        kept = self.idle.get(connection.address)
-        if kept and connection in kept:
-            kept.remove(connection)
+        pooled = self.idle.get(connection.address)
+        if pooled and connection in pooled:
+            pooled.remove(connection)
 
     def drop(self, address: str) -> None:
         """Closes all idle connections to an address."""
--- a/src/almondshift/adapters/http_engine.py
+++ b/src/almondshift/adapters/http_engine.py
@@ -59,7 +59,7 @@
     ) -> expression.Result[endpoints.EndpointDescription, engines.EngineError]:
         """Requests the engine's description."""
         call = self._get(engine_messages.DESCRIBE_PATH)
-        return await self._ask(call, engine_messages.decode_description)
+        return await self._send(call, engine_messages.decode_description)
 
     async def step(
         self, items: Sequence[steps.StepItem], timeout_s: float
@@ -73,7 +73,7 @@
             engine_messages.encode_items(items),
             timeout_s,
         )
-        return await self._ask(
+        return await self._send(
             call, lambda body: decode_step_results(body, len(items))
         )
 
@@ -85,7 +85,7 @@
         call = self._post(
             engine_messages.CANCEL_PATH, msgspec.json.encode(message)
         )
-        return await self._ask(call, decode_nothing)
+        return await self._send(call, decode_nothing)
 
     async def export_kv(
         self, session: str
@@ -94,7 +94,7 @@
         call = curl_calls.Call(
             self.name, "GET", self._kv_url(session), {}, None, KV_TIMEOUT_S
         )
-        return await self._ask(call, engine_messages.decode_snapshot)
+        return await self._send(call, engine_messages.decode_snapshot)
 
     async def import_kv(
         self, snapshot: steps.KvSnapshot
@@ -108,21 +108,21 @@
             engine_messages.encode_snapshot(snapshot),
             KV_TIMEOUT_S,
         )
-        return await self._ask(call, decode_nothing)
+        return await self._send(call, decode_nothing)
 
     async def load(
         self,
     ) -> expression.Result[endpoints.LoadReport, engines.EngineError]:
         """Reads the engine's load report, which lags behind its real load."""
         call = self._get(engine_messages.LOAD_PATH)
-        return await self._ask(call, engine_messages.decode_load)
+        return await self._send(call, engine_messages.decode_load)
 
     async def cache_events(
         self, after: int
     ) -> expression.Result[list[endpoints.CacheEvent], engines.EngineError]:
         """Reads cache events with a sequence number above ``after``."""
         call = self._get(f"{engine_messages.CACHE_EVENTS_PATH}?after={after}")
-        return await self._ask(call, engine_messages.decode_cache_events)
+        return await self._send(call, engine_messages.decode_cache_events)
 
     async def order(
         self, order: orders.Order
@@ -131,7 +131,7 @@
         call = self._post(
             engine_messages.ORDERS_PATH, engine_messages.encode_order(order)
         )
-        return await self._ask(call, engine_messages.decode_order_answer)
+        return await self._send(call, engine_messages.decode_order_answer)
 
     def _kv_url(self, session: str) -> str:
         quoted = urllib.parse.quote(session, safe="")
@@ -152,7 +152,7 @@
             CONTROL_TIMEOUT_S,
         )
 
-    async def _ask(
+    async def _send(
         self, call: curl_calls.Call, decode: Callable[[bytes], Answer]
     ) -> expression.Result[Answer, engines.EngineError]:
         result = await self.client.send(call, self.in_flight)
--- a/src/almondshift/adapters/http_front/base.py
+++ b/src/almondshift/adapters/http_front/base.py
@@ -43,7 +43,7 @@
     """Responds to every failure with a typed problem, never a traceback."""
 
     def initialize(self, context: contexts.FrontContext) -> None:
-        """Stores the shared context and starts the request's clock."""
+        """Stores the shared context and the request's time of arrival."""
         self.context = context
         self.node = context.node
         self.clock = context.clock
@@ -159,8 +159,9 @@
     def prepare(self) -> Awaitable[None] | None:
         """Rejects a body whose Content-Length is over the limit.
 
-        At once if the caller sent ``Expect`` and waits before it sends the
-        body, or if the body is too long to discard; else after reading it.
+        The rejection is immediate if the caller sent ``Expect`` and waits
+        before it sends the body, or if the body is too long to discard;
+        otherwise it follows once the body has been read.
         """
         super().prepare()
         self.chunks: list[bytes] = []
--- a/src/almondshift/adapters/http_front/completions.py
+++ b/src/almondshift/adapters/http_front/completions.py
@@ -26,7 +26,7 @@
 DONE = b"data: [DONE]\n\n"
 
 RETRY_AFTER_DEADLINE_S = 1.0
-"""Seconds after which the result of work still running may be requested."""
+"""Retry-After, in seconds, if the request may still run at its deadline."""
 
 
 class CompletionsHandler(base.BodyHandler):
@@ -50,7 +50,7 @@
     ) -> None:
         """Ends the work at the deadline, wherever it is waiting.
 
-        One timer per request covers queue, engines and a slow reader; timers
+        One timer per request covers queue, engines and a slow caller; timers
         for each step would cost more than the steps themselves.
         """
         left = request.deadline - self.clock.monotonic()
@@ -63,7 +63,7 @@
     def _end_at_deadline(self, request: completions.CompletionRequest) -> None:
         """Sends the error response at the deadline.
 
-        If the reader has not accepted all bytes, the connection is closed:
+        If the caller has not accepted all bytes, the connection is closed:
         the stream then has no end, so it can't be mistaken for a complete one.
         """
         error = _deadline_error(request, self.stream)
@@ -89,9 +89,9 @@
             case expression.Result(error=error):
                 raise error
         if request.stream:
-            await self._answer_stream(request, stream)
+            await self._respond_streamed(request, stream)
         else:
-            await self._answer_whole(request, stream)
+            await self._respond_whole(request, stream)
 
     def end_early(self) -> None:
         """Closes the stream, then responds if the caller is connected."""
@@ -169,7 +169,7 @@
             )
         return key
 
-    async def _answer_whole(
+    async def _respond_whole(
         self,
         request: completions.CompletionRequest,
         stream: gateway.CompletionStream,
@@ -177,12 +177,12 @@
         async with contextlib.aclosing(stream.tokens()) as source:
             tokens = [self._record_token(token) async for token in source]
         self._record_end(stream)
-        answer = self._chunk(request, tuple(tokens), "length")
-        answer["usage"] = _usage(request, len(tokens))
-        answer["almondshift"] = _details(stream)
-        await self.finish(answer)
+        response = self._chunk(request, tuple(tokens), "length")
+        response["usage"] = _usage(request, len(tokens))
+        response["almondshift"] = _details(stream)
+        await self.finish(response)
 
-    async def _answer_stream(
+    async def _respond_streamed(
         self,
         request: completions.CompletionRequest,
         stream: gateway.CompletionStream,
@@ -227,7 +227,7 @@
     ) -> None:
         """Writes an event and waits until it was written to the socket.
 
-        Otherwise a stalled reader would fill the node's memory with tokens.
+        Otherwise a stalled caller would fill the node's memory with tokens.
         Waiting here applies backpressure until the deadline ends the request.
         """
         self.write(b"data: " + msgspec.json.encode(event) + b"\n\n")
@@ -237,7 +237,7 @@
             raise asyncio.CancelledError from None
 
     def _drop_connection(self) -> None:
-        """Closes without an end marker: the reader sees a truncated stream."""
+        """Closes without an end marker: the caller sees a truncated stream."""
         connection = self.request.connection
         stream = getattr(connection, "stream", None)
         if stream is not None:
@@ -280,8 +280,8 @@
     """Returns the error of a request whose deadline passed.
 
     A non-idempotent request runs to completion before there is a stream, and
-    continues after this response. After "not run" its caller would retry with
-    a new key, and the request would run twice.
+    continues after this response. If it reported "not run", the caller would
+    retry with a new key, and the request would run twice.
     """
     if stream is not None:
         return errors.DeadlineExceeded(
--- a/src/almondshift/adapters/http_front/entries.py
+++ b/src/almondshift/adapters/http_front/entries.py
@@ -14,13 +14,13 @@
         known = None
         if header.startswith(base.BEARER):
             known = self.node.account_of(header[len(base.BEARER) :].strip())
-        answer = self.node.entries(known.name if known else "")
+        entries = self.node.entries(known.name if known else "")
         self.finish(
             {
                 "entries": [
                     {"address": entry.address, "zone": entry.zone}
-                    for entry in answer.addresses
+                    for entry in entries.addresses
                 ],
-                "hold_seconds": answer.hold_seconds,
+                "hold_seconds": entries.hold_seconds,
             }
         )
--- a/src/almondshift/adapters/http_front/plain.py
+++ b/src/almondshift/adapters/http_front/plain.py
@@ -38,12 +38,12 @@
 
     async def _call(self, request: gateway.PlainRequest) -> None:
         match await self.node.call_plain(request):
-            case expression.Result(tag="ok", ok=answer):
-                self.set_status(answer.status)
-                self.set_header("Content-Type", answer.content_type)
+            case expression.Result(tag="ok", ok=response):
+                self.set_status(response.status)
+                self.set_header("Content-Type", response.content_type)
                 if self.record is not None:
                     self.record.answered()
-                await self.finish(answer.body)
+                await self.finish(response.body)
             case expression.Result(error=error):
                 raise error
 
--- a/src/almondshift/adapters/http_operations.py
+++ b/src/almondshift/adapters/http_operations.py
@@ -90,8 +90,8 @@
         known = (errors.AlmondshiftError, tornado.web.HTTPError)
         if isinstance(value, known):
             return
-        fault = log_events.RequestInternalError(self.request_id, repr(value))
-        log_events.emit(logger, fault)
+        event = log_events.RequestInternalError(self.request_id, repr(value))
+        log_events.emit(logger, event)
 
     def send_json(self, value: Any) -> None:
         """Sends a JSON value."""
--- a/src/almondshift/adapters/http_operations_client.py
+++ b/src/almondshift/adapters/http_operations_client.py
@@ -105,8 +105,8 @@
             "change_id": change_id,
             "author": author,
         }
-        answer = await self._call(node, "POST", "/v1/admin/config", body)
-        return answer.bind(_validate_with(_VERSION.validate_python))
+        result = await self._call(node, "POST", "/v1/admin/config", body)
+        return result.bind(_validate_with(_VERSION.validate_python))
 
     async def show(
         self, node: str, version: int | None
@@ -115,8 +115,8 @@
         path = "/v1/admin/config"
         if version is not None:
             path += "?" + urllib.parse.urlencode({"version": version})
-        answer = await self._call(node, "GET", path)
-        return answer.bind(_validate_with(_VERSION.validate_python))
+        result = await self._call(node, "GET", path)
+        return result.bind(_validate_with(_VERSION.validate_python))
 
     async def history(
         self, node: str, limit: int
@@ -125,8 +125,8 @@
     ]:
         """Returns accepted versions, newest first."""
         path = f"/v1/admin/config/history?limit={limit}"
-        answer = await self._call(node, "GET", path)
-        return answer.bind(
+        result = await self._call(node, "GET", path)
+        return result.bind(
             _validate_with(lambda v: _VERSIONS.validate_python(v["versions"]))
         )
 
@@ -140,8 +140,8 @@
         self, node: str
     ) -> expression.Result[burn.Snapshot, errors.AlmondshiftError]:
         """Returns the node's counts of met and missed objectives."""
-        answer = await self._call(node, "GET", "/v1/admin/burn")
-        return answer.bind(_validate_with(_SNAPSHOT.validate_python))
+        result = await self._call(node, "GET", "/v1/admin/burn")
+        return result.bind(_validate_with(_SNAPSHOT.validate_python))
 
     async def _call(
         self,
@@ -155,10 +155,10 @@
             return expression.Error(unreachable)
         try:
             request = self._request(node, method, path, body)
-            answer = await self.http.fetch(request, raise_error=False)
+            response = await self.http.fetch(request, raise_error=False)
         except (OSError, tornado.httpclient.HTTPError) as error:
             return expression.Error(_no_response_error(node, method, error))
-        return _read_response(node, method, answer)
+        return _read_response(node, method, response)
 
     def _request(
         self, node: str, method: str, path: str, body: dict[str, Any] | None
@@ -212,16 +212,16 @@
 
 
 def _read_response(
-    node: str, method: str, answer: tornado.httpclient.HTTPResponse
+    node: str, method: str, response: tornado.httpclient.HTTPResponse
 ) -> expression.Result[dict[str, Any], errors.AlmondshiftError]:
     try:
-        value = json.loads(answer.body)
+        value = json.loads(response.body)
     except ValueError as error:
         return expression.Error(_no_response_error(node, method, error))
     if not isinstance(value, dict):
         fault = ValueError("the response is not a JSON object")
         return expression.Error(_no_response_error(node, method, fault))
-    if answer.code != OK:
+    if response.code != OK:
         return expression.Error(_node_error(value))
     return expression.Ok(value)
 
--- a/src/almondshift/adapters/ini_sections.py
+++ b/src/almondshift/adapters/ini_sections.py
@@ -22,7 +22,7 @@
 """Enough for about 5,000 accounts; fits into a row of the table service."""
 
 TEXT = "text"
-"""Reported as the section of an error that is not inside one."""
+"""Reported as the section name of an error outside any section."""
 
 BYTE_ORDER_MARK = "\ufeff"
 WHOLE_LINE_HEADER = re.compile(r"\[(?P<header>.+)\]$")
--- a/src/almondshift/adapters/peer_link.py
+++ b/src/almondshift/adapters/peer_link.py
@@ -127,8 +127,8 @@
         """Sends a message and waits for its reply.
 
         Returns:
-            The reply, or ``PeerUnreachable``: as ``NOT_RUN`` if no byte
-            was sent, else as ``UNKNOWN``.
+            The reply, or ``PeerUnreachable``, with the execution state
+            ``NOT_RUN`` if no byte was sent, else ``UNKNOWN``.
         """
         self.counts.calls += 1
         progress = CallProgress()
@@ -153,16 +153,16 @@
         content = self.encode_frame(peer_codec.Frame(number, message))
         progress.sent = True
         await stream.write(content)
-        answer = await self.read_frame(stream)
-        if answer.is_error() or answer.ok.call_number != number:
+        reply = await self.read_frame(stream)
+        if reply.is_error() or reply.ok.call_number != number:
             detail = f"Peer {address} sent an invalid reply."
             return expression.Error(errors.PeerUnreachable(detail))
-        if not self.has_valid_secret(answer.ok.message):
+        if not self.has_valid_secret(reply.ok.message):
             detail = f"Peer {address} replied with a wrong secret."
             return expression.Error(errors.PeerUnreachable(detail))
         progress.completed = True
         self.counts.answered += 1
-        return expression.Ok(answer.ok.message)
+        return expression.Ok(reply.ok.message)
 
     async def get_connection(
         self, address: str, progress: CallProgress
@@ -264,7 +264,7 @@
 
 @dataclasses.dataclass(slots=True)
 class CallProgress:
-    """Progress of a call; determines its error and connection reuse."""
+    """Progress of a call; decides its error and whether to reuse its stream."""
 
     stream: iostream.IOStream | None = None
     sent: bool = False
--- a/src/almondshift/adapters/platform_client.py
+++ b/src/almondshift/adapters/platform_client.py
@@ -53,9 +53,9 @@
 
         libcurl silently retries a request when a reused connection turns out
         to be dead. A conditional write that took effect would then conflict
-        with its own result and be reported as ``ConditionFailed``, "nothing
-        was written". It retries only on reused connections, so a new one for
-        each write, over HTTP/1.1, prevents that.
+        with its own result and be reported as ``ConditionFailed``, which
+        means that nothing was written. It retries only on reused connections,
+        so a new one for each write, over HTTP/1.1, prevents that.
         """
         curl.setopt(pycurl.PROXY, "")
         curl.setopt(pycurl.NOSIGNAL, 1)
@@ -104,16 +104,16 @@
         self, path: str
     ) -> expression.Result[PlatformAnswer, ClientError]:
         """Sends a GET; every failure is ``StoreUnavailable``."""
-        answer = await self._call("GET", path, None)
-        if answer.is_error() and isinstance(
-            answer.error, errors.StoreOutcomeUnknown
+        result = await self._call("GET", path, None)
+        if result.is_error() and isinstance(
+            result.error, errors.StoreOutcomeUnknown
         ):
             return expression.Error(
                 errors.StoreUnavailable(
-                    answer.error.detail, retry_after_s=DEFAULT_RETRY_AFTER_S
+                    result.error.detail, retry_after_s=DEFAULT_RETRY_AFTER_S
                 )
             )
-        return answer
+        return result
 
     async def write(
         self, method: str, path: str, body: bytes | None
--- a/src/almondshift/adapters/platform_store.py
+++ b/src/almondshift/adapters/platform_store.py
@@ -62,12 +62,12 @@
         self, table: str, key: str
     ) -> expression.Result[stores.Row | None, stores.StoreError]:
         """Reads one row; None if it does not exist."""
-        answer = await self.client.read(_row_path(table, key))
-        if answer.is_error():
-            return expression.Error(answer.error)
-        if answer.ok.status == platform_client.NOT_FOUND:
+        result = await self.client.read(_row_path(table, key))
+        if result.is_error():
+            return expression.Error(result.error)
+        if result.ok.status == platform_client.NOT_FOUND:
             return expression.Ok(None)
-        row = _decode(answer.ok.body, platform_messages.RowBody)
+        row = _decode(result.ok.body, platform_messages.RowBody)
         if row is None:
             return expression.Error(_undecodable_error())
         return expression.Ok(
@@ -80,10 +80,10 @@
         """Reads up to ``limit`` rows with a key prefix, in key order."""
         query = parse.urlencode({"prefix": prefix, "limit": limit})
         path = f"/v1/tables/{_quote(table)}/rows?{query}"
-        answer = await self.client.read(path)
-        if answer.is_error():
-            return expression.Error(answer.error)
-        found = _decode(answer.ok.body, platform_messages.RowsBody)
+        result = await self.client.read(path)
+        if result.is_error():
+            return expression.Error(result.error)
+        found = _decode(result.ok.body, platform_messages.RowsBody)
         if found is None:
             return expression.Error(_undecodable_error())
         rows = [
@@ -95,7 +95,7 @@
     async def transact(
         self, writes: list[stores.Write]
     ) -> expression.Result[list[int], stores.StoreError]:
-        """Applies all writes or none; ``stores.TableStore`` has the errors."""
+        """Applies all writes or none; for errors see ``stores.TableStore``."""
         bodies = [
             platform_messages.WriteBody(
                 write.table, write.key, write.value, write.if_revision
@@ -103,10 +103,10 @@
             for write in writes
         ]
         content = msgspec.json.encode(platform_messages.TransactionBody(bodies))
-        answer = await self.client.write("POST", "/v1/transactions", content)
-        if answer.is_error():
-            return expression.Error(answer.error)
-        done = _decode(answer.ok.body, platform_messages.RevisionsBody)
+        result = await self.client.write("POST", "/v1/transactions", content)
+        if result.is_error():
+            return expression.Error(result.error)
+        done = _decode(result.ok.body, platform_messages.RevisionsBody)
         if done is None or len(done.revisions) != len(writes):
             return expression.Error(
                 errors.StoreOutcomeUnknown(
@@ -134,21 +134,21 @@
         self, key: str
     ) -> expression.Result[bytes | None, stores.StoreError]:
         """Reads an object; None if it does not exist."""
-        answer = await self.client.read(f"/v1/objects/{_quote(key)}")
-        if answer.is_error():
-            return expression.Error(answer.error)
-        if answer.ok.status == platform_client.NOT_FOUND:
+        result = await self.client.read(f"/v1/objects/{_quote(key)}")
+        if result.is_error():
+            return expression.Error(result.error)
+        if result.ok.status == platform_client.NOT_FOUND:
             return expression.Ok(None)
-        return expression.Ok(answer.ok.body)
+        return expression.Ok(result.ok.body)
 
     async def put(
         self, key: str, content: bytes
     ) -> expression.Result[None, stores.StoreError]:
         """Writes a complete object."""
         path = f"/v1/objects/{_quote(key)}"
-        answer = await self.client.write("PUT", path, content)
-        if answer.is_error():
-            return expression.Error(answer.error)
+        result = await self.client.write("PUT", path, content)
+        if result.is_error():
+            return expression.Error(result.error)
         return expression.Ok(None)
 
 
@@ -172,15 +172,15 @@
         builtins.list[endpoints.Vm], errors.StoreUnavailable
     ]:
         """Returns the endpoint VMs as the platform last saw them."""
-        answer = await self.client.read("/v1/vms")
-        if answer.is_error():
+        result = await self.client.read("/v1/vms")
+        if result.is_error():
             return expression.Error(
                 errors.StoreUnavailable(
-                    answer.error.detail,
-                    retry_after_s=answer.error.retry_after_s,
+                    result.error.detail,
+                    retry_after_s=result.error.retry_after_s,
                 )
             )
-        found = _decode(answer.ok.body, platform_messages.VmsBody)
+        found = _decode(result.ok.body, platform_messages.VmsBody)
         if found is None:
             return expression.Error(_undecodable_error())
         return expression.Ok([_vm(body) for body in found.vms])
--- a/src/almondshift/adapters/relay_settings.py
+++ b/src/almondshift/adapters/relay_settings.py
@@ -74,13 +74,13 @@
 
     Attributes:
         hold_s: How long new requests are accepted after a stop was
-            requested, since callers cache addresses: up to three times
-            ``directory_hold_s``, less 0.1 s, since a busy node notices the
+            requested. Callers cache addresses, so this is up to three times
+            ``directory_hold_s``, less 0.1 s because a busy node notices the
             stop some hundredths of a second late. Later requests are refused
             even if their responses would probably complete in time: of the
             requests accepted in the middle of a stop, one in forty is still
-            cut off, and a caller that could have learned of the stop should
-            not bear that risk.
+            cut off. Callers that could have learned of the stop are refused
+            rather than exposed to that risk.
         grace_s: After this the process is killed.
     """
 
--- a/src/almondshift/console/burn_report.py
+++ b/src/almondshift/console/burn_report.py
@@ -37,7 +37,7 @@
 
     Attributes:
         answered: Addresses of the nodes whose counts are included.
-        silent: Error by address, for each node that did not answer.
+        silent: Error by address, for each node that did not respond.
     """
 
     burns: list[burn.Burn]
--- a/src/almondshift/daemons/demo.py
+++ b/src/almondshift/daemons/demo.py
@@ -63,7 +63,7 @@
 
 
 class Demo:
-    """Runs the demo's steps and records whether all answers were correct."""
+    """Runs the demo's steps and records whether all responses were correct."""
 
     def __init__(self, system: embedded.EmbeddedSystem) -> None:
         self.system = system
@@ -109,7 +109,7 @@
         )
         mode = "streamed" if stream else "whole"
         print(f"\n{service} ({mode}): {prompt}")
-        self._check(prompt, 24, answer)
+        self._check_completion(prompt, 24, answer)
         self._print_stages(answer)
 
     async def _repeat_portal_call(self) -> None:
@@ -143,7 +143,7 @@
             "advice", LONG_PROMPT, LONG_PROMPT_MAX_TOKENS, on_token=on_token
         )
         await asyncio.gather(*kill_tasks)
-        self._check(LONG_PROMPT, LONG_PROMPT_MAX_TOKENS, answer)
+        self._check_completion(LONG_PROMPT, LONG_PROMPT_MAX_TOKENS, answer)
         self._print_stages(answer)
         for recovery in answer.details.get("recoveries", []):
             scope = "all stages" if recovery["restarted"] else "one stage"
@@ -168,7 +168,7 @@
         print(f"  after {KILL_AFTER_TOKENS} tokens: {name} is killed")
         await self.system.kill_engine(name)
 
-    def _check(
+    def _check_completion(
         self, prompt: str, count: int, answer: http_caller.CallerAnswer
     ) -> None:
         expected = reference.complete(
@@ -197,7 +197,7 @@
 
 
 def run(*, keep: bool) -> int:
-    """Runs the demo; returns 0 only if every answer was correct."""
+    """Runs the demo; returns 0 only if every response was correct."""
     return asyncio.run(_run(keep))
 
 
--- a/src/almondshift/daemons/node.py
+++ b/src/almondshift/daemons/node.py
@@ -100,7 +100,7 @@
         )
 
     async def start(self) -> None:
-        """Starts the adapters, which opens the listener, then the node."""
+        """Starts the adapters, including the listener, then the node."""
         await self.table.start()
         await self.objects.start()
         await self.vm_list.start()
--- a/src/almondshift/daemons/relay.py
+++ b/src/almondshift/daemons/relay.py
@@ -161,7 +161,7 @@
     for number in STOP_SIGNALS:
         loop.add_signal_handler(number, stop.set)
     loop.add_signal_handler(signal.SIGHUP, _reload, path, process)
-    # start_relay blocks SIGHUP; a signal sent during startup is pending.
+    # start_relay blocks SIGHUP; one sent during startup is delivered now.
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
     await process.start()
     await stop.wait()
@@ -187,7 +187,7 @@
 
 
 def _reload(path: str, process: RelayProcess) -> None:
-    """Reloads the settings; those read at run time take effect."""
+    """Reloads the settings; only those read at run time take effect."""
     loaded = relay_settings.load(path)
     if loaded.is_error():
         log_events.emit(logger, log_events.NodeReloaded(f"not: {loaded.error}"))
--- a/src/almondshift/daemons/start_relay.py
+++ b/src/almondshift/daemons/start_relay.py
@@ -2,10 +2,10 @@
 
 Importing the program takes about half a second. A SIGHUP (settings reload)
 in that time would have its default action and end the process; supervisors
-would count a crash, and the VM would be back a second later. So the signal is
-blocked until the program has installed its handler, and none is lost. This
-module imports nothing of the program before that; only the interpreter's own
-startup, about 20 ms, is unprotected.
+would count a crash, and the VM would serve again only a second later. So the
+signal is blocked until the program has installed its handler, and none is
+lost. This module imports nothing of the program before that; only the
+interpreter's own startup, about 20 ms, is unprotected.
 
 Imported objects are never garbage, so the garbage collector is disabled
 during the import and ignores them afterwards. This shortens a restart, for
--- a/src/almondshift/errors.py
+++ b/src/almondshift/errors.py
@@ -246,7 +246,7 @@
 
 
 class StoreOutcomeUnknown(AlmondshiftError):
-    """A write was sent to the store but no answer arrived."""
+    """A write was sent to the store but no response was received."""
 
     kind = "store_outcome_unknown"
     status = 502
@@ -287,7 +287,7 @@
 
 
 class EndpointOutcomeUnknown(AlmondshiftError):
-    """Bytes were sent to the endpoint but no complete answer came back."""
+    """Bytes were sent to the endpoint but no complete response came back."""
 
     kind = "endpoint_outcome_unknown"
     status = 502
@@ -296,7 +296,7 @@
 
 
 class PeerUnreachable(AlmondshiftError):
-    """A peer node did not answer in time."""
+    """A peer node did not reply in time."""
 
     kind = "peer_unreachable"
     status = 502
--- a/src/almondshift/log_events.py
+++ b/src/almondshift/log_events.py
@@ -17,7 +17,7 @@
     """The base of events; fields become members of the JSON line.
 
     Each process defines all of them at import, and a restarting node serves
-    nobody until then. Data classes would take ten times as long to define.
+    no callers until then. Data classes would take ten times as long to define.
     """
 
     number: ClassVar[int]
@@ -51,7 +51,7 @@
 
 
 class NodeReady(Event, frozen=True):
-    """The node has a configuration and answers callers."""
+    """The node has a configuration and serves callers."""
 
     number = 1002
     message = "node ready"
@@ -72,7 +72,7 @@
 
 
 class NodeStopped(Event, frozen=True):
-    """The node has stopped; ``cut`` requests got no complete answer."""
+    """The node has stopped; ``cut`` requests got no complete response."""
 
     number = 1004
     message = "node stopped"
@@ -215,7 +215,7 @@
 
 
 class OrderAnswered(Event, frozen=True):
-    """An endpoint answered an order, or its outcome is unknown."""
+    """An endpoint responded to an order, or its outcome is unknown."""
 
     number = 3005
     message = "order answered"
@@ -248,7 +248,7 @@
 
 
 class EndpointGone(Event, frozen=True):
-    """An endpoint was removed from the list, or stopped answering."""
+    """An endpoint was removed from the list, or stopped responding."""
 
     number = 4003
     level = logging.WARNING
@@ -271,7 +271,7 @@
 
 
 class EndpointRestored(Event, frozen=True):
-    """An ejected endpoint answered probes and gets work again."""
+    """An ejected endpoint responded to probes and gets work again."""
 
     number = 4005
     message = "endpoint restored"
@@ -360,7 +360,7 @@
 
 
 class RequestAnswered(Event, frozen=True):
-    """A request got its complete answer."""
+    """A request got its complete response."""
 
     number = 5002
     message = "request answered"
@@ -414,7 +414,7 @@
 
 
 class EchoMismatch(Event, frozen=True):
-    """An answer identified a step other than the one sent; it was dropped."""
+    """A result identified a step other than the one sent; it was dropped."""
 
     number = 5006
     level = logging.ERROR
@@ -454,7 +454,7 @@
 
 
 class AttemptFailed(Event, frozen=True):
-    """An endpoint did not answer a request completely."""
+    """An endpoint returned no complete response to a request."""
 
     number = 5009
     message = "attempt failed"
@@ -500,7 +500,7 @@
 
 
 class AnswerAborted(Event, frozen=True):
-    """The shutdown aborted a request that had no complete answer yet."""
+    """The shutdown aborted a request that had no complete response yet."""
 
     number = 5012
     level = logging.WARNING
@@ -514,7 +514,7 @@
 
 
 class StoreOutageBegan(Event, frozen=True):
-    """The platform's store does not answer."""
+    """The platform's store does not respond."""
 
     number = 6001
     level = logging.WARNING
@@ -526,7 +526,7 @@
 
 
 class StoreOutageEnded(Event, frozen=True):
-    """The platform's store answers again."""
+    """The platform's store responds again."""
 
     number = 6002
     message = "store outage ended"
@@ -568,7 +568,7 @@
 
 
 class PeerRowsUnreadable(Event, frozen=True):
-    """A peer's answer with store rows can't be decoded; it is dropped."""
+    """A peer's reply with store rows can't be decoded; it is dropped."""
 
     number = 7004
     level = logging.WARNING
--- a/src/almondshift/model/completions.py
+++ b/src/almondshift/model/completions.py
@@ -16,7 +16,7 @@
     Attributes:
         prompt: Token ids.
         max_tokens: Number of tokens to generate.
-        deadline: Monotonic time in seconds by which it must be answered.
+        deadline: Monotonic time in seconds by which it must have ended.
         idempotency_key: The caller's key, or ``""``.
     """
 
--- a/src/almondshift/model/endpoints.py
+++ b/src/almondshift/model/endpoints.py
@@ -72,7 +72,7 @@
         instance: Random id, new at each start of the engine.
         accelerator: Kind of accelerator.
         layer_capacity: Layers that fit in its memory.
-        fixed_s: Fixed time of one batch, without that of its items.
+        fixed_s: Time of one batch in addition to that of its items.
         per_layer_token_s: Time of one token through one layer.
         max_batch: Maximum number of items in a batch.
         max_sessions: Maximum number of sessions in its KV cache.
--- a/src/almondshift/model/engine_specs.py
+++ b/src/almondshift/model/engine_specs.py
@@ -30,13 +30,15 @@
         layer_mb: Size of the weights of one layer.
         token_bytes: KV cache memory of one token over all layers.
         load_s: Time to load all layers.
-        step_ms: Time of a decode step over all layers without requests.
+        step_ms: Base time of a decode step over all layers, before the times
+            below are added.
         step_ms_per_request: Added by each request that is generating.
         step_ms_per_kilotoken: Added by each 1,000 tokens of context.
         prefill_tokens_per_s: Prefill speed.
         mean_prompt_tokens: Mean length of a prompt in tokens.
         mean_answer_tokens: Mean length of an answer in tokens.
-        slots: Requests that an engine runs at once as the first of a path.
+        slots: Requests that an engine runs at once as the first engine of
+            their paths.
         kinds: Kinds of accelerators by name.
     """
 
--- a/src/almondshift/model/fleet.py
+++ b/src/almondshift/model/fleet.py
@@ -160,7 +160,7 @@
     def checks_fencing(self, endpoint: str) -> bool:
         """Returns whether an endpoint is known to check fencing tokens.
 
-        The first matching rule decides; without one, the answer is no.
+        The first matching rule decides; without one, the result is False.
         """
         for rule in self.endpoint_rules:
             if fnmatch.fnmatchcase(endpoint, rule.pattern):
--- a/src/almondshift/model/orders.py
+++ b/src/almondshift/model/orders.py
@@ -12,7 +12,7 @@
 
 
 class OrderStatus(enum.StrEnum):
-    """How an engine answered an order."""
+    """How an engine responded to an order."""
 
     ACCEPTED = "accepted"
     STALE = "stale"
@@ -42,7 +42,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OrderAnswer:
-    """The engine's answer; ``highest`` is the highest fencing token it saw."""
+    """An engine's response to an order.
+
+    Attributes:
+        highest: The highest fencing token that the engine has seen.
+    """
 
     status: OrderStatus
     highest: int
--- a/src/almondshift/model/prefixes.py
+++ b/src/almondshift/model/prefixes.py
@@ -14,7 +14,7 @@
 """Tokens per block; prefixes are digested in whole blocks."""
 
 MAX_BLOCKS = 64
-"""Blocks of a prompt digested for routing hints; later ones add little."""
+"""Only the first blocks are digested for routing hints; others add little."""
 
 _BLOCK = struct.Struct(f"<{BLOCK_TOKENS}Q")
 
--- a/src/almondshift/model/relayed.py
+++ b/src/almondshift/model/relayed.py
@@ -1,4 +1,4 @@
-"""A caller's request that is forwarded unchanged, and parts of its answer."""
+"""A caller's request that is forwarded unchanged, and parts of its response."""
 
 from __future__ import annotations
 
@@ -54,11 +54,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ForwardedHead:
-    """The head of an endpoint's answer.
+    """The head of an endpoint's response.
 
     Attributes:
         headers: Header fields to forward unchanged.
-        genuine: Whether the endpoint marked the answer as its own.
+        genuine: Whether the endpoint marked the response as its own.
         not_run: Whether it says that the request did not run.
         faulty_address: The endpoint at fault, if it names one.
     """
--- a/src/almondshift/model/routes.py
+++ b/src/almondshift/model/routes.py
@@ -33,8 +33,8 @@
     Attributes:
         prefix: Begins and ends with a slash.
         timeout_s: Longest time that a caller is kept waiting.
-        objective_s: Target time to the answer, or to a stream's first event;
-            later answers are worth less.
+        objective_s: Target time to the response, or to a stream's first event;
+            later responses are worth less.
         event_gap_s: Target for the longest pause between a stream's events.
         priority: 0 is the most urgent.
         max_attempts: Maximum number of endpoints that may run one request.
@@ -60,7 +60,7 @@
 
     @property
     def is_stream(self) -> bool:
-        """Whether answers are event streams."""
+        """Whether responses are event streams."""
         return self.repeat is RepeatRule.STREAM
 
     @property
--- a/src/almondshift/model/steps.py
+++ b/src/almondshift/model/steps.py
@@ -11,7 +11,7 @@
 
 
 class StepStatus(enum.StrEnum):
-    """An engine's answer to one item; with all but ``OK`` it was not run."""
+    """Status of an item's result; unless it is ``OK``, the item was not run."""
 
     OK = "ok"
     BUSY = "busy"
@@ -70,7 +70,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StepResult:
-    """The answer to a ``StepItem``; echoes the fields that identify it.
+    """The result of a ``StepItem``; echoes the fields that identify it.
 
     Attributes:
         outputs: One value for each input: activations, or, from the last
--- a/src/almondshift/platform/engines.py
+++ b/src/almondshift/platform/engines.py
@@ -14,8 +14,8 @@
 from almondshift.ports import path_engines
 
 MAX_SMALL_RESPONSE_BYTES = 1_000_000
-"""Limits responses to reports, health checks and orders. A report takes about
-60 bytes for each stalled request."""
+"""Limits reports and the responses to health checks and orders. A report takes
+about 60 bytes for each stalled request."""
 
 HOP_BY_HOP_FIELDS = frozenset(
     {
--- a/src/almondshift/platform/front.py
+++ b/src/almondshift/platform/front.py
@@ -24,9 +24,9 @@
 DROPPED_RESPONSE_FIELDS = engines.HOP_BY_HOP_FIELDS | {"content-length"}
 
 MAX_TOKEN_COUNT_DIGITS = 9
-"""Longest accepted token count: a thousand times the largest context of
-current models. Much longer numbers overflow floats, and above 4,300 digits
-Python refuses to parse them."""
+"""Longest accepted token count in digits; allows a thousand times the largest
+context of current models. Much longer numbers overflow floats, and above 4,300
+digits Python refuses to parse them."""
 
 HTTP_OK = 200
 HTTP_UNAVAILABLE = 503
@@ -210,9 +210,9 @@
     def is_idle(self) -> bool:
         """Returns whether no request or response is in transfer.
 
-        The relay can't tell: for it, a response is complete once it is handed
-        over, though a slow caller may still have most of it to read, and a
-        request does not exist until its body is complete. Closing the
+        The relay can't tell. It considers a response complete once it has
+        handed it over, though a slow caller may not have read most of it yet,
+        and it learns of a request only once the body is complete. Closing the
         connections would truncate both.
         """
         return not self.incomplete_requests and not any(
@@ -232,7 +232,7 @@
 
 
 class Directory:
-    """Answers readiness checks and callers that look up nodes."""
+    """Responds to readiness checks and to callers that look up nodes."""
 
     def __init__(self, relay: relays.Relay, ttl_s: float) -> None:
         self.relay = relay
@@ -377,7 +377,7 @@
 
 
 def _token_count(text: str, field: str) -> int:
-    """Returns a count; 0 if not a number, since it serves as an estimate."""
+    """Returns a count, or 0 if invalid, as it is used only as an estimate."""
     text = text.strip()
     if not text.isascii() or not text.isdecimal():
         return 0
--- a/src/almondshift/platform/store.py
+++ b/src/almondshift/platform/store.py
@@ -90,10 +90,10 @@
     ) -> expression.Result[list[stores.Row], stores.StoreError]:
         """Reads rows with a key prefix, in key order."""
         query = {"table": table, "part": "", "from": prefix, "limit": limit}
-        answer = await self._get_rows(names.ROWS_READ, query, CALL_TIMEOUT_S)
-        if answer.is_error():
-            return expression.Error(answer.error)
-        rows = [r for r in answer.ok.rows if r.key.startswith(prefix)]
+        result = await self._get_rows(names.ROWS_READ, query, CALL_TIMEOUT_S)
+        if result.is_error():
+            return expression.Error(result.error)
+        rows = [r for r in result.ok.rows if r.key.startswith(prefix)]
         try:
             return expression.Ok([_decode_row(table, row) for row in rows])
         except (ValueError, TypeError) as error:
@@ -108,7 +108,7 @@
         body = json.dumps(_encode_transaction(writes)).encode()
         fetched = await self._call("POST", names.ROWS_WRITE, body)
         if fetched.outcome is not http_connections.Outcome.WHOLE:
-            return expression.Error(_transport_error(fetched, changes=True))
+            return expression.Error(_transport_error(fetched, is_write=True))
         assert fetched.head is not None
         status = fetched.head.status
         if status == STATUS_PRECONDITION_FAILED:
@@ -118,13 +118,13 @@
         if status != 200:
             return expression.Error(_status_error(status))
         try:
-            answer = ROWS_DECODER.decode(fetched.body)
+            decoded = ROWS_DECODER.decode(fetched.body)
         except msgspec.DecodeError as error:
             return expression.Error(
                 errors.StoreOutcomeUnknown(f"Invalid response: {error}.")
             )
         return expression.Ok(
-            [0 if write.value is None else answer.ver for write in writes]
+            [0 if write.value is None else decoded.ver for write in writes]
         )
 
     async def read_whole(
@@ -139,12 +139,12 @@
         }
         revision = 0
         while True:
-            answer = await self._get_rows(
+            result = await self._get_rows(
                 names.ROWS_READ, query, CALL_TIMEOUT_S
             )
-            if answer.is_error():
-                return expression.Error(answer.error)
-            page = answer.ok
+            if result.is_error():
+                return expression.Error(result.error)
+            page = result.ok
             rows += page.rows
             # Later pages reflect later states. Following changes from the first
             # page's revision replays whatever changed in between.
@@ -159,12 +159,12 @@
         """Waits until a table changes after a revision (long poll)."""
         query = {"table": table, "after": after, "waitMs": int(wait_s * 1000)}
         timeout_s = wait_s + FEED_EXTRA_TIMEOUT_S
-        answer = await self._get_rows(names.ROWS_FEED, query, timeout_s)
-        if answer.is_error():
-            if isinstance(answer.error, HistoryGone):
+        result = await self._get_rows(names.ROWS_FEED, query, timeout_s)
+        if result.is_error():
+            if isinstance(result.error, HistoryGone):
                 return expression.Ok(None)
-            return expression.Error(answer.error)
-        return expression.Ok(decode_change(answer.ok.rows, answer.ok.ver))
+            return expression.Error(result.error)
+        return expression.Ok(decode_change(result.ok.rows, result.ok.ver))
 
     async def _get_rows(
         self, path: str, query: dict[str, Any], timeout_s: float
@@ -172,7 +172,7 @@
         target = f"{path}?{parse.urlencode(query)}"
         fetched = await self._call("GET", target, b"", timeout_s)
         if fetched.outcome is not http_connections.Outcome.WHOLE:
-            return expression.Error(_transport_error(fetched, changes=False))
+            return expression.Error(_transport_error(fetched, is_write=False))
         assert fetched.head is not None
         if fetched.head.status == STATUS_HISTORY_GONE:
             return expression.Error(
@@ -264,9 +264,9 @@
 
 
 def _transport_error(
-    fetched: http_connections.FetchResult, changes: bool
+    fetched: http_connections.FetchResult, is_write: bool
 ) -> stores.StoreError:
-    if changes and fetched.sent:
+    if is_write and fetched.sent:
         return errors.StoreOutcomeUnknown(f"No response: {fetched.reason}.")
     return errors.StoreUnavailable(f"No response: {fetched.reason}.")
 
--- a/src/almondshift/ports/engines.py
+++ b/src/almondshift/ports/engines.py
@@ -28,8 +28,8 @@
 
     A call that fails with ``EndpointUnreachable`` sent nothing. One that
     fails with ``EndpointOutcomeUnknown`` may have run, and the connection
-    it used is closed, so that a late answer can't be taken for that of a later
-    call.
+    it used is closed, so that a late response can't be taken for that of a
+    later call.
     """
 
     @abc.abstractmethod
--- a/src/almondshift/ports/gateway.py
+++ b/src/almondshift/ports/gateway.py
@@ -32,7 +32,7 @@
     """Addresses, the best first.
 
     Attributes:
-        hold_seconds: How long a caller should cache this answer.
+        hold_seconds: How long a caller should cache these addresses.
     """
 
     addresses: tuple[EntryAddress, ...]
@@ -64,7 +64,8 @@
     """A request to be admitted.
 
     Attributes:
-        tokens: Maximum length of its answer; 0 if it has none.
+        tokens: Maximum number of tokens in its response; 0 for a call to a
+            plain service.
         deadline: Monotonic time.
     """
 
@@ -82,7 +83,7 @@
         """Yields each token once, in order; closing it cancels the work.
 
         Raises:
-            errors.AlmondshiftError: The completion can't go on.
+            errors.AlmondshiftError: The completion can't continue.
         """
 
     @abc.abstractmethod
@@ -91,11 +92,11 @@
 
     @abc.abstractmethod
     def execution(self) -> errors.Execution:
-        """Returns what is currently known of whether any engine ran it."""
+        """Returns what is known so far about whether any engine ran it."""
 
     @abc.abstractmethod
     def chain(self) -> chains.Chain | None:
-        """Returns the chain in use; None for a stored answer."""
+        """Returns the chain in use; None for a stored response."""
 
     @abc.abstractmethod
     def summary(self) -> completions.CompletionSummary:
@@ -140,10 +141,10 @@
     async def complete(
         self, request: completions.CompletionRequest
     ) -> expression.Result[CompletionStream, errors.AlmondshiftError]:
-        """Starts a completion, or returns its stored answer."""
+        """Starts a completion, or returns its stored response."""
 
     @abc.abstractmethod
     async def call_plain(
         self, request: PlainRequest
     ) -> expression.Result[plain_services.PlainAnswer, errors.AlmondshiftError]:
-        """Calls a plain service, or returns its stored answer."""
+        """Calls a plain service, or returns its stored response."""
--- a/src/almondshift/ports/operations.py
+++ b/src/almondshift/ports/operations.py
@@ -32,7 +32,7 @@
 
 
 class Operations(abc.ABC):
-    """Operators' calls; every node answers them."""
+    """Operators' calls; every node serves them."""
 
     @abc.abstractmethod
     async def apply_config(
--- a/src/almondshift/ports/path_engines.py
+++ b/src/almondshift/ports/path_engines.py
@@ -15,10 +15,10 @@
     """How a forwarded request ended.
 
     Attributes:
-        WHOLE: The complete answer arrived.
+        WHOLE: The complete response was received.
         NOT_SENT: No connection was made, so nothing was sent.
-        BROKEN: The connection failed before the end of the answer.
-        SPOILT: The answer was invalid, over a limit or for another request.
+        BROKEN: The connection failed before the end of the response.
+        SPOILT: The response was invalid, over a limit or for another request.
     """
 
     WHOLE = "whole"
@@ -40,10 +40,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OrderAnswer:
-    """An engine's answer to an order.
+    """An engine's response to an order.
 
     Attributes:
-        faulty_address: The engine at fault, if the answer names one.
+        faulty_address: The engine at fault, if the response names one.
     """
 
     outcome: OrderOutcome
@@ -51,7 +51,7 @@
 
 
 class AnswerListener(abc.ABC):
-    """Receives the answer to a forwarded request, in order."""
+    """Receives the response to a forwarded request, in order."""
 
     @abc.abstractmethod
     def on_head(self, head: relayed.ForwardedHead) -> None:
@@ -90,7 +90,7 @@
     async def report(
         self, address: str, timeout_s: float
     ) -> relayed.EngineReport | None:
-        """Requests an engine's report; None if it does not answer in time."""
+        """Requests an engine's report; None if it does not respond in time."""
 
     @abc.abstractmethod
     async def is_healthy(
@@ -99,7 +99,7 @@
         """Calls an endpoint's health check.
 
         Returns:
-            Whether it takes new work; None if it does not answer in time, or
+            Whether it takes new work; None if it does not respond in time, or
             is too busy to tell.
         """
 
@@ -122,7 +122,7 @@
             end: The layer after the last.
             expected_orders: The engine refuses the order if it has accepted
                 another number of orders; None for no such condition.
-            timeout_s: Time without an answer after which the outcome is
+            timeout_s: Time without a response after which the outcome is
                 unknown.
         """
 
--- a/src/almondshift/ports/peers.py
+++ b/src/almondshift/ports/peers.py
@@ -101,7 +101,7 @@
 
 
 class PeerLink(abc.ABC):
-    """Calls between nodes over TCP, one answer for each message.
+    """Calls between nodes over TCP, one reply to each message.
 
     Attributes:
         address: ``host:port`` that peers reach it by, known after ``start``.
@@ -113,7 +113,7 @@
     async def start(
         self, handler: Callable[[PeerMessage], Awaitable[PeerMessage]]
     ) -> None:
-        """Listens, and answers each message with what ``handler`` returns."""
+        """Listens, and replies to messages with the result of ``handler``."""
 
     @abc.abstractmethod
     async def close(self) -> None:
@@ -123,4 +123,4 @@
     async def call(
         self, address: str, message: PeerMessage, timeout_s: float
     ) -> expression.Result[PeerMessage, errors.PeerUnreachable]:
-        """Sends a message to ``host:port`` and waits for its answer."""
+        """Sends a message to ``host:port`` and waits for the reply."""
--- a/src/almondshift/ports/plain_services.py
+++ b/src/almondshift/ports/plain_services.py
@@ -40,7 +40,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlainAnswer:
-    """A complete answer of a plain service."""
+    """A complete response of a plain service."""
 
     status: int
     content_type: str
--- a/src/almondshift/ports/relays.py
+++ b/src/almondshift/ports/relays.py
@@ -12,7 +12,7 @@
 
 
 class Responder(abc.ABC):
-    """Writes one answer to a caller.
+    """Writes one response to a caller.
 
     Attributes:
         head_sent: Whether status and header fields have been sent.
@@ -36,19 +36,19 @@
     def send_whole(
         self, status: int, headers: tuple[tuple[str, str], ...], body: bytes
     ) -> None:
-        """Sends a complete answer whose body is known."""
+        """Sends a complete response whose body is known."""
 
     @abc.abstractmethod
     def finish(self) -> None:
-        """Ends the answer as complete."""
+        """Ends the response as complete."""
 
     @abc.abstractmethod
     def abort(self) -> None:
-        """Aborts the answer so that it can't be mistaken for a complete one."""
+        """Aborts the response, so that it is not taken for a complete one."""
 
     @abc.abstractmethod
     def fail(self, error: errors.AlmondshiftError) -> None:
-        """Answers with an error; only before the head has been sent."""
+        """Responds with an error; only before the head has been sent."""
 
 
 class ActiveRequest(abc.ABC):
@@ -70,7 +70,7 @@
     def accept(
         self, request: relayed.RelayedRequest, responder: Responder
     ) -> ActiveRequest:
-        """Accepts a request; the answer goes to ``responder``."""
+        """Accepts a request; the response goes to ``responder``."""
 
     @abc.abstractmethod
     def limits(self) -> routing_config.CallerLimits:
--- a/src/almondshift/ports/stores.py
+++ b/src/almondshift/ports/stores.py
@@ -52,7 +52,10 @@
 
 
 class TableStore(abc.ABC):
-    """A transactional table for several hundred writes and 2,000 reads/s."""
+    """A transactional table.
+
+    It is meant for several hundred writes and 2,000 reads per second.
+    """
 
     @abc.abstractmethod
     async def read(
@@ -75,8 +78,8 @@
         Returns:
             The new revisions (0 for a delete), or ``ConditionFailed`` if
             nothing was written, ``StoreUnavailable`` if the request was not
-            sent or was refused, ``StoreOutcomeUnknown`` if its answer did not
-            arrive.
+            sent or was refused, ``StoreOutcomeUnknown`` if no response was
+            received.
         """
 
 
