--- a/tests/adapters/closing_servers.py
+++ b/tests/adapters/closing_servers.py
@@ -6,7 +6,7 @@
 import contextlib
 import dataclasses
 
-ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]"
+RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]"
 
 
 @dataclasses.dataclass(slots=True)
@@ -39,7 +39,7 @@
     ) -> None:
         self.connections += 1
         self.bodies.append(await read_request(reader))
-        writer.write(ANSWER)
+        writer.write(RESPONSE)
         await writer.drain()
         with contextlib.suppress(asyncio.IncompleteReadError):
             self.bodies.append(await read_request(reader))
--- a/tests/adapters/test_http_connections.py
+++ b/tests/adapters/test_http_connections.py
@@ -25,7 +25,7 @@
 class Server:
     """Responds to each request with the next of the given byte strings."""
 
-    answers: list[bytes]
+    responses: list[bytes]
     then_reset: bool = False
     then_close: bool = False
     requests: int = 0
@@ -44,10 +44,10 @@
             while True:
                 await reader.readuntil(b"\r\n\r\n")
                 self.requests += 1
-                if not self.answers:
+                if not self.responses:
                     writer.transport.abort()
                     return
-                writer.write(self.answers.pop(0))
+                writer.write(self.responses.pop(0))
                 await writer.drain()
                 if self.then_reset:
                     await asyncio.sleep(0.05)
@@ -100,7 +100,7 @@
 
 
 @pytest.mark.parametrize(
-    ("answer", "end", "outcome", "kept"),
+    ("response", "end", "outcome", "kept"),
     [
         (LENGTH_3, "", "WHOLE", True),
         (CHUNKED, "", "WHOLE", True),
@@ -123,9 +123,9 @@
 )  # fmt: skip
 @asynchronous.run
 async def test_outcome_of_response(
-    answer: bytes, end: str, outcome: str, kept: bool
+    response: bytes, end: str, outcome: str, kept: bool
 ) -> None:
-    server = Server([answer], end == "reset", end == "close")
+    server = Server([response], end == "reset", end == "close")
     await server.start()
     pool = http_connections.create_connection_pool()
     found, listener, made = await call(pool, server.address)
--- a/tests/adapters/test_http_engine.py
+++ b/tests/adapters/test_http_engine.py
@@ -14,30 +14,30 @@
 RESULT = ("r", "s", 1, 0, 0, 4, "m", 1, "", "ok", (1, 2, 3))
 
 
-def build_answer(status: str, body: bytes = b"", length: int = 0) -> bytes:
+def build_response(status: str, body: bytes = b"", length: int = 0) -> bytes:
     size = length or len(body)
     head = f"HTTP/1.1 {status}\r\nContent-Length: {size}\r\n\r\n"
     return head.encode() + body
 
 
 @pytest.mark.parametrize(
-    ("answer", "error"),
+    ("response", "error"),
     [
-        (build_answer("200 OK", msgspec.msgpack.encode([RESULT])), None),
+        (build_response("200 OK", msgspec.msgpack.encode([RESULT])), None),
         (
-            build_answer("200 OK", msgspec.msgpack.encode([RESULT] * 2)),
+            build_response("200 OK", msgspec.msgpack.encode([RESULT] * 2)),
             errors.EndpointOutcomeUnknown,
         ),
-        (build_answer("200 OK", b"{}"), errors.EndpointOutcomeUnknown),
-        (build_answer("200 OK", b"x", 9), errors.EndpointOutcomeUnknown),
-        (build_answer("500 Error"), errors.EndpointOutcomeUnknown),
-        (build_answer("503 Busy"), errors.EndpointOutcomeUnknown),
-        (build_answer("599 Other"), errors.EndpointOutcomeUnknown),
-        (build_answer("503 Busy\r\nX-Not-Run: 1"), errors.EndpointRefused),
-        (build_answer("400 Bad"), errors.EndpointRefused),
-        (build_answer("409 Conflict"), errors.EndpointOutcomeUnknown),
+        (build_response("200 OK", b"{}"), errors.EndpointOutcomeUnknown),
+        (build_response("200 OK", b"x", 9), errors.EndpointOutcomeUnknown),
+        (build_response("500 Error"), errors.EndpointOutcomeUnknown),
+        (build_response("503 Busy"), errors.EndpointOutcomeUnknown),
+        (build_response("599 Other"), errors.EndpointOutcomeUnknown),
+        (build_response("503 Busy\r\nX-Not-Run: 1"), errors.EndpointRefused),
+        (build_response("400 Bad"), errors.EndpointRefused),
+        (build_response("409 Conflict"), errors.EndpointOutcomeUnknown),
         (
-            build_answer("302 Found\r\nLocation: /elsewhere"),
+            build_response("302 Found\r\nLocation: /elsewhere"),
             errors.EndpointOutcomeUnknown,
         ),
         (b"nonsense\r\n\r\n", errors.EndpointOutcomeUnknown),
@@ -47,7 +47,7 @@
 )
 @asynchronous.run
 async def test_response_to_step(
-    answer: bytes, error: type[errors.AlmondshiftError] | None
+    response: bytes, error: type[errors.AlmondshiftError] | None
 ) -> None:
     """Only an explicit refusal means that nothing ran; nothing is retried."""
     bodies = []
@@ -56,7 +56,7 @@
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         bodies.append(await closing_servers.read_request(reader))
-        writer.write(answer)
+        writer.write(response)
         writer.close()
 
     factory = http_engine.create_factory()
--- a/tests/adapters/test_http_operations.py
+++ b/tests/adapters/test_http_operations.py
@@ -41,8 +41,8 @@
     url = f"http://{node}{path}"
     request = urllib.request.Request(url, body, headers)
     try:
-        with urllib.request.urlopen(request, timeout=10) as answer:
-            return answer.status, json.load(answer)
+        with urllib.request.urlopen(request, timeout=10) as response:
+            return response.status, json.load(response)
     except urllib.error.HTTPError as error:
         with error:
             return error.code, json.load(error)
@@ -96,9 +96,9 @@
     ],
 )
 def test_answers(node: str, path: str, key: str) -> None:
-    code, answer = _fetch(node, path, AUTHORIZED)
+    code, content = _fetch(node, path, AUTHORIZED)
     assert code == 200
-    assert key in answer
+    assert key in content
 
 
 def _call(call: Call, timeout_s: float = 5.0) -> errors.AlmondshiftError:
@@ -119,9 +119,9 @@
     assert error.execution is errors.Execution.NOT_RUN
 
 
-@pytest.mark.parametrize("reply", [None, b"", b"HTTP/1.1 200 OK\r\n\r\nx"])
+@pytest.mark.parametrize("response", [None, b"", b"HTTP/1.1 200 OK\r\n\r\nx"])
 def test_apply_without_complete_response_is_unknown(
-    reply: bytes | None,
+    response: bytes | None,
 ) -> None:
     """The operator sees 'unknown', not 'failed'.
 
@@ -132,9 +132,9 @@
     async def serve(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        if await reader.read(65536) and reply is not None:
-            writer.write(reply)
-        elif reply is None:
+        if await reader.read(65536) and response is not None:
+            writer.write(response)
+        elif response is None:
             await asyncio.sleep(1)
         writer.close()
 
--- a/tests/adapters/test_peer_link.py
+++ b/tests/adapters/test_peer_link.py
@@ -57,13 +57,13 @@
         settings = peer_link.PeerLinkSettings()
         async with two_links(settings) as (client, server):
             bodies = [str(number).encode() for number in range(50)]
-            answers = await asyncio.gather(
+            replies = await asyncio.gather(
                 *(
                     client.call(server.address, question(body), 5.0)
                     for body in bodies
                 )
             )
-            assert [a.ok.body for a in answers] == bodies  # type: ignore[union-attr]
+            assert [reply.ok.body for reply in replies] == bodies  # type: ignore[union-attr]
             assert len(client.idle_streams) == settings.max_idle_per_peer
             assert not client.active_streams
 
@@ -85,10 +85,10 @@
             )
             assert late.error.execution is errors.Execution.UNKNOWN
             assert not client.idle_streams
-            answer = await client.call(
+            reply = await client.call(
                 server.address, question(b"second", "slow"), 5.0
             )
-            assert answer.ok == peers.Answer(known=True, body=b"second")
+            assert reply.ok == peers.Answer(known=True, body=b"second")
 
     asyncio.run(scenario())
 
@@ -230,8 +230,8 @@
     async def scenario() -> None:
         async with two_links() as (client, server):
             assert await send_raw(server.address, content) == b""
-            answer = await client.call(server.address, question(b"x"), 5.0)
-            assert answer.is_ok()
+            reply = await client.call(server.address, question(b"x"), 5.0)
+            assert reply.is_ok()
 
     asyncio.run(scenario())
 
@@ -248,8 +248,8 @@
             await asyncio.sleep(0)
             assert server.server is not None
             assert not server.server.streams
-            answer = await client.call(server.address, question(b"x"), 5.0)
-            assert answer.is_ok()
+            reply = await client.call(server.address, question(b"x"), 5.0)
+            assert reply.is_ok()
 
     asyncio.run(scenario())
 
--- a/tests/platform/standin_engines.py
+++ b/tests/platform/standin_engines.py
@@ -33,10 +33,10 @@
 
 @dataclasses.dataclass(slots=True)
 class RunningStream:
-    """A stream on whose path an engine is the first.
+    """A stream that an engine runs as the first engine of its path.
 
     Attributes:
-        path: Addresses with their layer range; the end is exclusive.
+        path: Addresses with their layer ranges; each end is exclusive.
         starts: Each engine's start time when it joined the stream's path.
         stalled_on: Address of the engine that it waits for; empty for none.
     """
@@ -156,7 +156,7 @@
     def set_path(
         self, run: RunningStream, path: list[tuple[str, int, int]]
     ) -> None:
-        """Assigns a path to a stream; engines on both paths keep state."""
+        """Assigns a path; engines on the old and the new one keep state."""
         kept = {address: run.starts.get(address) for address, _, _ in run.path}
         run.path = path
         run.stalled_on = ""
--- a/tests/platform/test_crashing_requests.py
+++ b/tests/platform/test_crashing_requests.py
@@ -13,7 +13,7 @@
 CRASHING_BODY = b"crashes"
 
 
-async def ask(
+async def send_request(
     running: system.StandinSystem, path: str, request_id: str, node: int
 ) -> tuple[int, dict[str, str], bytes]:
     entry = running.nodes[node].settings.entry.address
@@ -66,7 +66,7 @@
             make_endpoints_crash(running)
             number = 0
             while len(crashed(running)) < crash_strikes.MAX_STRIKES:
-                status, _, _ = await ask(
+                status, _, _ = await send_request(
                     running, path, f"bad{number}", number % 2
                 )
                 assert status in (0, 502, 503)
@@ -96,12 +96,16 @@
             for node in (0, 1):
                 for again in range(3):
                     request_id = f"bad-{node}-{again}"
-                    answer = await ask(running, path, request_id, node)
-                    assert answer[0] == 503
-                    assert json.loads(answer[2])["kind"] == "crashes_endpoints"
-                    assert float(answer[1]["retry-after"]) > 1
+                    response = await send_request(
+                        running, path, request_id, node
+                    )
+                    assert response[0] == 503
+                    assert (
+                        json.loads(response[2])["kind"] == "crashes_endpoints"
+                    )
+                    assert float(response[1]["retry-after"]) > 1
                     assert times_run(running, request_id) == 0
             assert len(crashed(running)) == lost
-            assert (await ask(running, "/once/x", "good", 0))[0] == 200
+            assert (await send_request(running, "/once/x", "good", 0))[0] == 200
 
     asyncio.run(scenario())
--- a/tests/platform/test_draining_engines.py
+++ b/tests/platform/test_draining_engines.py
@@ -50,8 +50,8 @@
             )
             before = offered_requests(running, drained)
             for number in range(REQUESTS):
-                answer = await whole.chat(running, f"s{number}", number % 3)
-                assert answer[0] == 200
+                response = await whole.chat(running, f"s{number}", number % 3)
+                assert response[0] == 200
             assert offered_requests(running, drained) == before
 
     asyncio.run(scenario())
--- a/tests/platform/test_full_engines.py
+++ b/tests/platform/test_full_engines.py
@@ -67,9 +67,9 @@
                 engine.is_full = not engine.instance.startswith("a")
             for number in range(5):
                 request_id = f"r{number}"
-                answer = await whole.chat(running, request_id)
+                response = await whole.chat(running, request_id)
                 ran = whole.times_run(running, request_id)
-                assert answer[0] == (502 if ran else 503)
+                assert response[0] == (502 if ran else 503)
                 await asyncio.sleep(engine_tracker.FULL_S)
             assert any(engine.ran for engine in running.engines.values())
 
@@ -79,7 +79,7 @@
 async def start_stream(
     running: system.StandinSystem,
 ) -> asyncio.Task[tuple[int, dict[str, str], bytes]]:
-    """Starts a stream of 20 events whose connection closes after some."""
+    """Starts a stream of 20 events that is cut after 12 of them."""
     for engine in running.engines.values():
         engine.gap_s, engine.cut_after = EVENT_GAP_S, CUT_AFTER_EVENTS
     stream = asyncio.create_task(whole.chat(running, "r1"))
@@ -136,9 +136,9 @@
             shared.budget.limits = repeat_budget.RepeatLimits(0.0, 10.0, 0.0)
             await asyncio.sleep(CUT_AFTER_EVENTS * EVENT_GAP_S + budget_empty_s)
             shared.budget.limits = limits
-            answer = await stream
-            assert answer[0] == status
-            assert whole.tokens(answer[2]) == (whole.WHOLE if status else [])
+            response = await stream
+            assert response[0] == status
+            assert whole.tokens(response[2]) == (whole.WHOLE if status else [])
             assert whole.times_run(running, "r1") == (2 if status else 1)
 
     asyncio.run(scenario())
--- a/tests/platform/test_fuzzed_inputs.py
+++ b/tests/platform/test_fuzzed_inputs.py
@@ -29,12 +29,12 @@
     header_bytes=4_096, body_bytes=1_000, idle_timeout_s=5.0
 )
 RESPONSE_TIMEOUT_S = 2.0
-"""Time within which a request is answered or its connection is closed; a local
-exchange takes a few ms."""
+"""Time within which a request gets its response or its connection is closed; a
+local exchange takes a few ms."""
 
 
 class RecordingRelay(relays.Relay):
-    """Answers each request that the listener accepts."""
+    """Responds to each request that the listener accepts."""
 
     def __init__(self) -> None:
         self.accepted: list[relayed.RelayedRequest] = []
@@ -78,10 +78,10 @@
         )
         writer.write(raw)
         writer.write_eof()
-        answer = b""
+        response = b""
         try:
             async with asyncio.timeout(RESPONSE_TIMEOUT_S):
-                answer = await reader.read()
+                response = await reader.read()
         except ConnectionError:
             pass
         finally:
@@ -90,7 +90,7 @@
             address, system.request("/x/", "proper")
         )
         assert (status, body) == (200, b"ok")
-        return relay, answer
+        return relay, response
     finally:
         await listener.close()
 
@@ -155,11 +155,11 @@
     handler.emit = records.append  # type: ignore[method-assign]
     logging.getLogger().addHandler(handler)
     try:
-        relay, answer = asyncio.run(exchange(raw))
+        relay, response = asyncio.run(exchange(raw))
     finally:
         logging.getLogger().removeHandler(handler)
     assert not [r for r in records if r.exc_info]
-    assert answer == b"" or answer.startswith(b"HTTP/1.1 ")
+    assert response == b"" or response.startswith(b"HTTP/1.1 ")
     ids = [r.request_id for r in relay.accepted]
     assert ids[-1] == "proper"
     for request in relay.accepted[:-1]:
--- a/tests/platform/test_lost_answers.py
+++ b/tests/platform/test_lost_answers.py
@@ -44,7 +44,7 @@
 
 
 def test_a_stream_that_may_not_be_repeated_keeps_its_engine() -> None:
-    """Otherwise a caller is refused because of a queue of half a second."""
+    """Otherwise a queue of half a second at an engine ends in a refusal."""
 
     async def scenario() -> None:
         async with system.running_system(zones="a") as running:
@@ -68,12 +68,12 @@
             await warm_up(running)
             for engine in running.engines.values():
                 engine.first_event_delay_s = NEVER_S
-            answer = asyncio.create_task(whole.chat(running, "r1"))
+            stream = asyncio.create_task(whole.chat(running, "r1"))
             await running.until(lambda: whole.times_run(running, "r1") == 2)
             await asyncio.sleep(2 * OBJECTIVE_S)
             assert whole.times_run(running, "r1") == 2
             tracker = running.nodes[0].node.shared.tracker
             assert not any(tracker.is_suspect(name) for name in running.engines)
-            answer.cancel()
+            stream.cancel()
 
     asyncio.run(scenario())
--- a/tests/platform/test_restarted_engines.py
+++ b/tests/platform/test_restarted_engines.py
@@ -34,10 +34,10 @@
     """Guards against a stream that waits for an engine which lost its state.
 
     An engine on the stream's path crashes and is back at once under its name,
-    without layers. It answers calls and its registry entry looks healthy. The
-    stream must resume in the other zone before its caller gives up, with each
-    event once and in order, even if the registry reflects the restart only a
-    second later.
+    without layers. It responds to calls and its registry entry looks healthy.
+    The stream must resume in the other zone before its caller gives up, with
+    each event once and in order, even if the registry reflects the restart only
+    a second later.
     """
 
     async def scenario() -> None:
@@ -82,10 +82,10 @@
             endpoint.response_delay_s = 0.3
             entry = running.nodes[0].settings.entry.address
             head = system.request("/once/x", "r1")
-            asked = asyncio.create_task(system.send(entry, head, b""))
+            pending = asyncio.create_task(system.send(entry, head, b""))
             await running.until(lambda: whole.times_run(running, "r1") == 1)
             await endpoint.restart(updates_registry=not is_delayed)
-            status, _, _ = await asked
+            status, _, _ = await pending
             assert status == 502
             if is_delayed:
                 endpoint.on_change()
--- a/tests/platform/test_restarts_and_clocks.py
+++ b/tests/platform/test_restarts_and_clocks.py
@@ -56,10 +56,10 @@
                 await running.add_node()
             await running.until(running.serves, 4.0)
             for node in (0, 1):
-                answer = await whole.chat(
+                response = await whole.chat(
                     running, f"n{node}", node, Authorization=f"Bearer {key}"
                 )
-                assert answer[0] == 200
+                assert response[0] == 200
             if has_new_config:
                 assert (await whole.chat(running, "old"))[0] == 401
                 assert whole.times_run(running, "old") == 0
@@ -217,10 +217,10 @@
             client = console_nodes.create_client(
                 argparse.Namespace(), needs_secret=False
             )
-            answers = await console_nodes.fetch_statuses(client, addresses)
+            results = await console_nodes.fetch_statuses(client, addresses)
             client.close()
-            assert [a.error for a in answers] == [None, None]
-            seen = [a.value or {} for a in answers]
+            assert [a.error for a in results] == [None, None]
+            seen = [a.value or {} for a in results]
             assert {s["node"] for s in seen} == {"node-0", "node-1"}
             suspects = [
                 [e["name"] for e in s["endpoints"] if e["suspect"]]
@@ -228,7 +228,7 @@
             ]
             assert suspects == [[], ["a1"]]
             assert all(s["config"]["version"] == 1 for s in seen)
-            [second] = [a for a in answers if a.address == addresses[1]]
+            [second] = [a for a in results if a.address == addresses[1]]
             text = status.render_text([second])
             assert "stalled" in text
             assert "node-1" in text
--- a/tests/platform/test_whole_system.py
+++ b/tests/platform/test_whole_system.py
@@ -34,10 +34,10 @@
     async def scenario() -> None:
         async with system.running_system(nodes=2) as running:
             entry = running.nodes[1].settings.entry.address
-            answers = await asyncio.gather(
+            responses = await asyncio.gather(
                 *(chat(running, f"r{n}", n % 2) for n in range(20))
             )
-            for status, fields, body in answers:
+            for status, fields, body in responses:
                 assert status == 200
                 assert fields["x-engine-signature"].startswith("sig-")
                 assert tokens(body) == WHOLE
@@ -94,10 +94,10 @@
             head = system.request(path, "r1", **fields)
             if "X_Request_Id" in fields:
                 head = [line for line in head if "Request-Id" not in line]
-            answer = await system.send(entry, head, b"x")
-            assert answer[0] == status
-            assert "x-engine-signature" not in answer[1]
-            assert json.loads(answer[2])["remedy"]
+            response = await system.send(entry, head, b"x")
+            assert response[0] == status
+            assert "x-engine-signature" not in response[1]
+            assert json.loads(response[2])["remedy"]
             assert times_run(running, "r1") == 0
 
     asyncio.run(scenario())
@@ -268,8 +268,8 @@
                 running.engines[name].resets = True
             entry = running.nodes[0].settings.entry.address
             head = system.request(path, "r1", method=method)
-            answer = await system.send(entry, head, b"")
-            assert answer[0] == status
+            response = await system.send(entry, head, b"")
+            assert response[0] == status
             assert times_run(running, "r1") == runs
 
     asyncio.run(scenario())
@@ -306,8 +306,8 @@
             entry = running.nodes[0].settings.entry.address
             started = asyncio.get_running_loop().time()
             head = system.request("/once/x", "r1", X_Deadline_Ms="300")
-            answer = await system.send(entry, head, b"")
-            assert answer[0] == 504
+            response = await system.send(entry, head, b"")
+            assert response[0] == 504
             assert asyncio.get_running_loop().time() - started < 0.6
 
     asyncio.run(scenario())
@@ -345,8 +345,10 @@
             )
             assert (await chat(running, "r1", 1))[0] in (401, 503)
             assert times_run(running, "r1") == 0
-            answer = await chat(running, "r2", 1, Authorization="Bearer key-2")
-            assert answer[0] == 200
+            response = await chat(
+                running, "r2", 1, Authorization="Bearer key-2"
+            )
+            assert response[0] == 200
 
     asyncio.run(scenario())
 
@@ -363,8 +365,8 @@
             await running.until(lambda: engines["pa"].leaving)
             entry = running.nodes[0].settings.entry.address
             head = system.request("/once/x", "r1")
-            answer = await system.send(entry, head, b"")
-            assert answer[0] == 503
+            response = await system.send(entry, head, b"")
+            assert response[0] == 503
             assert not running.engines["pa"].ran
 
     asyncio.run(scenario())
