--- a/src/almondshift/relay/application.py
+++ b/src/almondshift/relay/application.py
@@ -73,8 +73,8 @@
 pause every engine that starts costs each reader a call to the store."""
 
 FIRST_READ_PAUSE_S = 0.8
-"""Pause after the first read, in seconds: nodes that have not yet found each
-other would all poll the store themselves."""
+"""Pause after the first read, in seconds; limits calls to the store, which
+nodes that have not yet found each other all poll themselves."""
 
 SETTLE_S = 3.0
 """Time after joining in which a node may not know all of its peers, in seconds;
@@ -215,7 +215,7 @@
         self.catalogue.on_restarted.append(self.engine_restarted)
 
     async def start(self) -> None:
-        """Starts all components; joins the group once the store answers."""
+        """Starts all components; joins the group once the store responds."""
         await self.config_watch.start()
         await self.engine_watch.start()
         await self.silence.start()
@@ -273,8 +273,8 @@
         self.shared.crash_watch.join(node_group)
         self.shared.lost_engines.join(node_group)
         self.shared.refusing_engines.join(node_group)
-        # Read before the first gossip exchange, which takes longer: the node
-        # count is needed to share the load of callers that reconnect at once.
+        # Read before the first gossip exchange, which takes longer: callers
+        # reconnect at once, and sharing their load requires the node count.
         await self.rows.peer_addresses()
         await node_group.start()
         self.group = node_group
@@ -313,7 +313,11 @@
                 log_events.emit(logger, log_events.NodeRowRemoved(name))
 
     def tick(self) -> None:
-        """Does periodic work: suspension check, expiry, peers, poll times."""
+        """Does periodic work.
+
+        Detects that the process was suspended, drops what has expired, logs
+        changes of peers, and updates node counts and poll times.
+        """
         now = self.ports.clock.monotonic()
         suspended_s = now - self.last_tick_at - TICK_S
         self.last_tick_at = now
@@ -341,11 +345,15 @@
             Number of live nodes, this one included.
         """
         now = self.ports.clock.monotonic()
-        serving = len(node_group.serving())
-        written = len(self.rows.addresses)
-        self.shared.paths.nodes = self.size.nodes(serving, written, now)
-        self.shared.budget.note_nodes(max(1 + serving, written), now)
-        return 1 + serving
+        serving_peers = len(node_group.serving())
+        registered_nodes = len(self.rows.addresses)
+        self.shared.paths.nodes = self.size.nodes(
+            serving_peers, registered_nodes, now
+        )
+        self.shared.budget.note_nodes(
+            max(1 + serving_peers, registered_nodes), now
+        )
+        return 1 + serving_peers
 
     def apply_config(
         self, rows: list[row_feeds.FeedRow], verified: bool
@@ -381,7 +389,7 @@
     def engine_restarted(
         self, engine: registered_engines.RegisteredEngine
     ) -> None:
-        """Moves all work off the previous start of an engine.
+        """Moves all work off the previous instance of a restarted engine.
 
         Pooled connections to it are dead even if no reset has arrived yet. A
         request sent on one of them is lost, and must not be retried if it is
@@ -398,8 +406,9 @@
     def engine_gone(self, engine: registered_engines.RegisteredEngine) -> None:
         """Forgets an engine and its connections, as its address is reused.
 
-        Some engines do not announce that they shut down: only their entry is
-        removed, and they keep serving for as long as those that announce it.
+        Some engines do not announce that they shut down; only their entry is
+        removed. They keep serving for as long as those that announce it, so
+        their streams are moved off in the same way.
         """
         self.silence.moves.on_engine_leaving(engine.instance)
         self.silence.forget(engine.instance)
@@ -412,9 +421,9 @@
 
     async def stop_gracefully(self) -> None:
         """Drains the node: requests in flight finish, new ones go elsewhere."""
-        stop = self.shared.drain
+        node_drain = self.shared.drain
         settings = self.settings.drain
-        stop.begin(settings.hold_s, settings.grace_s - STOP_MARGIN_S)
+        node_drain.begin(settings.hold_s, settings.grace_s - STOP_MARGIN_S)
         log_events.emit(
             logger,
             log_events.NodeDraining(
@@ -423,19 +432,22 @@
         )
         # The lease is released now so that another node can place layers
         # during the drain. If it were released at the end and the store did
-        # not answer for a second, the node would be killed before it closed.
+        # not respond for a second, the node would be killed before it closed.
         self.work.run(self.keeper.close())
         if self.group is not None:
             await self.group.members.announce_leaving()
-        while stop.left_s() > 0:
-            if stop.refuses_new() and self.is_idle():
+        while node_drain.left_s() > 0:
+            if node_drain.refuses_new() and self.is_idle():
                 break
             await asyncio.sleep(STOP_TICK_S)
-        cut = list(self.shared.running)
-        for run in cut:
+        unfinished = list(self.shared.running)
+        for run in unfinished:
             run.cut()
         log_events.emit(
-            logger, log_events.NodeStopped(round(stop.since_s(), 3), len(cut))
+            logger,
+            log_events.NodeStopped(
+                round(node_drain.since_s(), 3), len(unfinished)
+            ),
         )
 
     def is_idle(self) -> bool:
@@ -453,11 +465,11 @@
 ) -> membership.Handler:
     """Returns the handler of peers' requests for newer rows of a table."""
 
-    async def answer(sender: str, body: bytes) -> bytes:
+    async def handle(sender: str, body: bytes) -> bytes:
         del sender
-        return await watch.answer_peer(body)
+        return await watch.reply_to_peer(body)
 
-    return answer
+    return handle
 
 
 def create_relay_node(
--- a/src/almondshift/relay/catalogue.py
+++ b/src/almondshift/relay/catalogue.py
@@ -132,24 +132,24 @@
             callback()
 
     def apply_engine_row(
-        self, row: row_feeds.FeedRow, now: float, store_back_at: float
+        self, row: row_feeds.FeedRow, now: float, outage_ended_at: float
     ) -> None:
         """Applies a row of the registry.
 
         Args:
             row: The row, or its removal.
             now: Monotonic seconds.
-            store_back_at: End of the last store outage, in monotonic seconds;
+            outage_ended_at: End of the last store outage, in monotonic seconds;
                 entries of live engines may have expired during the outage.
         """
-        self._apply_row(row, now, store_back_at)
+        self._apply_row(row, now, outage_ended_at)
         self._log_new_engines()
 
     def _apply_row(
-        self, row: row_feeds.FeedRow, now: float, store_back_at: float
+        self, row: row_feeds.FeedRow, now: float, outage_ended_at: float
     ) -> None:
         if row.value is None:
-            self._apply_removal(row.key, now, store_back_at)
+            self._apply_removal(row.key, now, outage_ended_at)
             return
         self.pending_removals.pop(row.key, None)
         decoded = self.decoders.engine(row.key, row.value)
@@ -168,17 +168,17 @@
         self,
         rows: tuple[row_feeds.FeedRow, ...],
         now: float,
-        store_back_at: float,
+        outage_ended_at: float,
     ) -> None:
         """Applies a full read of the registry; rows not in it were removed."""
         present = {row.key for row in rows}
         for row in rows:
-            self._apply_row(row, now, store_back_at)
+            self._apply_row(row, now, outage_ended_at)
         self._log_new_engines()
         for key in [
             key for key in self.current_instances if key not in present
         ]:
-            self._apply_removal(key, now, store_back_at)
+            self._apply_removal(key, now, outage_ended_at)
 
     def expire_removals(self, now: float) -> None:
         """Drops engines whose removal is no longer held back."""
@@ -298,11 +298,11 @@
             )
 
     def _apply_removal(
-        self, key: str, now: float, store_back_at: float
+        self, key: str, now: float, outage_ended_at: float
     ) -> None:
         if key not in self.current_instances:
             return
-        held_until = store_back_at + REMOVAL_GRACE_S
+        held_until = outage_ended_at + REMOVAL_GRACE_S
         if now < held_until:
             self.pending_removals.setdefault(key, held_until)
             return
--- a/src/almondshift/relay/context.py
+++ b/src/almondshift/relay/context.py
@@ -32,8 +32,8 @@
 
     Attributes:
         zone: This node's availability zone.
-        registry_age_s: Returns the age of the engine registry's copy, in
-            seconds.
+        registry_age_s: Returns the age of this node's copy of the engine
+            registry, in seconds.
         engine_notice_s: Minimum time for which an engine keeps serving after it
             was registered as leaving, in seconds.
         running: Requests that have not ended.
--- a/src/almondshift/relay/gateway.py
+++ b/src/almondshift/relay/gateway.py
@@ -48,18 +48,18 @@
     """A request whose denial waits until the configuration is confirmed.
 
     Attributes:
-        gone: Whether the caller disconnected or has been refused.
+        is_over: Whether the caller disconnected or has been refused.
         run: The run, if the confirmed configuration allows the request.
     """
 
     def __init__(self, refuse: Callable[[], None]) -> None:
         self.refuse = refuse
-        self.gone = False
+        self.is_over = False
         self.run: relays.ActiveRequest | None = None
 
     def caller_gone(self) -> None:
         """Marks the caller as gone, and notifies the run if there is one."""
-        self.gone = True
+        self.is_over = True
         if self.run is not None:
             self.run.caller_gone()
 
@@ -68,8 +68,8 @@
 
         Without a run, it was not sent to any endpoint.
         """
-        if self.run is None and not self.gone:
-            self.gone = True
+        if self.run is None and not self.is_over:
+            self.is_over = True
             self.refuse()
 
 
@@ -184,7 +184,7 @@
             is_current = False
         finally:
             self.shared.running.discard(denial)
-        if denial.gone:
+        if denial.is_over:
             return
         try:
             denial.run = self.serve(request, responder)
--- a/src/almondshift/relay/group.py
+++ b/src/almondshift/relay/group.py
@@ -78,8 +78,8 @@
     """Rows in the store by which nodes discover each other.
 
     Attributes:
-        stale: Revisions by name of the rows whose nodes were unknown at the
-            last sweep.
+        stale: Revisions of the rows whose nodes were unknown at the last
+            sweep, by node name.
         addresses: Peer addresses in the rows that were read last.
         names: Node names in the rows that were read last; empty before the
             first read.
@@ -98,11 +98,11 @@
     async def shared_secret(self) -> str:
         """Returns the secret that all nodes share; the first node creates it.
 
-        Waits until the store replies, since without the secret a node can
+        Waits until the store responds, since without the secret a node can
         neither authenticate to peers nor verify them.
         """
         while True:
-            secret = await self._secret_once()
+            secret = await self._read_or_create_secret()
             if secret:
                 return secret
             await asyncio.sleep(RETRY_S)
@@ -164,18 +164,18 @@
         self.stale = unknown
         return removed
 
-    async def _secret_once(self) -> str:
+    async def _read_or_create_secret(self) -> str:
         read = await self.store.read(SECRET_TABLE, SECRET_KEY)
         if read.is_error():
             return ""
         if read.ok is not None:
             return str(read.ok.value.get("secret", ""))
-        made = secrets.token_hex(SECRET_BYTES)
+        created = secrets.token_hex(SECRET_BYTES)
         write = stores.Write(
-            SECRET_TABLE, SECRET_KEY, {"secret": made}, stores.ABSENT
+            SECRET_TABLE, SECRET_KEY, {"secret": created}, stores.ABSENT
         )
         written = await self.store.transact([write])
-        return made if written.is_ok() else ""
+        return created if written.is_ok() else ""
 
 
 class Group:
@@ -184,8 +184,8 @@
     Attributes:
         members: Membership and message exchange with peers.
         states: State of each peer as last logged, by name.
-        cached_readers: Readers chosen from the cached list; None if not chosen
-            yet.
+        cached_readers: Readers among the nodes of the cached list; None if
+            they have not been determined yet.
         cache_expires_at: Monotonic time at which the cached list expires.
     """
 
@@ -282,13 +282,13 @@
         chosen = self.members.rng.sample(
             known, min(PEERS_PER_REQUEST, len(known))
         )
-        answers = await asyncio.gather(
+        replies = await asyncio.gather(
             *(
                 self.members.ask(name, topic, body, ASK_TIMEOUT_S)
                 for name in chosen
             )
         )
-        return [answer.ok for answer in answers if answer.is_ok()]
+        return [reply.ok for reply in replies if reply.is_ok()]
 
     def register_handler(
         self, topic: str, handler: Callable[[str, bytes], Awaitable[bytes]]
--- a/src/almondshift/relay/peer_rows.py
+++ b/src/almondshift/relay/peer_rows.py
@@ -41,10 +41,11 @@
     """A peer's reply.
 
     Attributes:
-        revision: The newest revision that it covers.
-        rows: Changed rows, or all.
-        is_whole: Whether rows that are missing in it were removed.
-        age_s: Time since the store last confirmed it.
+        revision: The newest revision that the reply covers.
+        rows: Changed rows, or all rows.
+        is_whole: Whether the reply covers the whole table, so that rows that
+            are neither in ``rows`` nor in ``unchanged`` were removed.
+        age_s: Time since the store last confirmed the peer's copy.
         unchanged: Keys of rows that exist and are not repeated in ``rows``.
     """
 
@@ -56,7 +57,7 @@
 
 
 REQUEST_DECODER = msgspec.json.Decoder(RowRequest)
-ANSWER_DECODER = msgspec.json.Decoder(PeerRows)
+REPLY_DECODER = msgspec.json.Decoder(PeerRows)
 
 
 def encode_request(request: RowRequest) -> bytes:
@@ -65,36 +66,36 @@
 
 
 def decode_request(body: bytes) -> RowRequest:
-    """Decodes a request; one that is malformed requests all rows."""
+    """Decodes a request; a malformed one counts as a request for all rows."""
     try:
         return REQUEST_DECODER.decode(body)
     except msgspec.DecodeError:
         return RowRequest(after=-1)
 
 
-def encode_answer(change: row_feeds.TableChange) -> bytes:
+def encode_reply(change: row_feeds.TableChange) -> bytes:
     """Encodes a reply."""
     encoded = [
         PeerRow(row.key, _encoded(row.value), row.revision)
         for row in change.rows
     ]
-    answer = PeerRows(
+    reply = PeerRows(
         change.revision,
         encoded,
         change.is_whole,
         change.age_s,
         list(change.unchanged),
     )
-    return msgspec.json.encode(answer)
+    return msgspec.json.encode(reply)
 
 
-def decode_answer(answer: bytes) -> row_feeds.TableChange:
+def decode_reply(reply: bytes) -> row_feeds.TableChange:
     """Decodes a reply.
 
     Raises:
         ValueError: The reply or one of its rows is malformed.
     """
-    decoded = ANSWER_DECODER.decode(answer)
+    decoded = REPLY_DECODER.decode(reply)
     return row_feeds.TableChange(
         rows=tuple(
             row_feeds.FeedRow(row.key, _decoded(row.value), row.revision)
--- a/src/almondshift/relay/shared_feed.py
+++ b/src/almondshift/relay/shared_feed.py
@@ -19,13 +19,14 @@
     from almondshift.ports import stores
     from almondshift.relay import group as relay_group
 
-ANSWER_MARGIN_S = 0.4
+REPLY_MARGIN_S = 0.4
 """Time for a reader's reply in addition to the requested wait, in seconds."""
 
 MAX_READERS_TRIED = 2
-"""Readers tried before the store itself; a third would only add delay. They are
-tried in random order, so that a reader that lost the store unnoticed delays
-changes by one request only: the other one has them."""
+"""Number of readers tried before the store itself; a third would only add
+delay. The order is random for each request: if one reader has lost the store
+without noticing it, changes are delayed by one request only, as the other
+reader has them."""
 
 T = TypeVar("T")
 Change = expression.Result["row_feeds.TableChange", "stores.StoreError"]
@@ -38,7 +39,7 @@
         direct: The store.
         group: The other nodes; None before this node has joined them.
         next_store_call_at: Monotonic time before which the store is not called,
-            as it did not reply.
+            as it did not respond.
         skipped_until: Monotonic time until which a reader that failed is
             skipped, by name.
     """
@@ -97,14 +98,14 @@
             return None
         body = peer_rows.encode_request(request)
         for name in self._readers(self.group):
-            answer = await self.group.members.ask(
-                name, table, body, request.wait_s + ANSWER_MARGIN_S
+            reply = await self.group.members.ask(
+                name, table, body, request.wait_s + REPLY_MARGIN_S
             )
-            change = _change_in(answer.ok) if answer.is_ok() else None
+            change = _decode_reply(reply.ok) if reply.is_ok() else None
             if change is not None and change.age_s <= feed_readers.MAX_AGE_S:
                 return change
             pause_s = feed_readers.AWAY_S
-            if answer.is_error():
+            if reply.is_error():
                 pause_s = feed_readers.SILENT_S
             self.skipped_until[name] = self.clock.monotonic() + pause_s
         return None
@@ -119,9 +120,9 @@
         usable = self._usable(node_group.name, readers.chosen)
         if not usable and not _contains(readers.stand_ins, node_group.name):
             usable = self._usable(node_group.name, readers.stand_ins)
-        own = usable[:MAX_READERS_TRIED]
-        self.rng.shuffle(own)
-        return own
+        tried = usable[:MAX_READERS_TRIED]
+        self.rng.shuffle(tried)
+        return tried
 
     def _usable(
         self, name: str, readers: tuple[feed_readers.GroupNode, ...]
@@ -146,7 +147,7 @@
     def _update_backoff(
         self, result: expression.Result[T, stores.StoreError]
     ) -> expression.Result[T, stores.StoreError]:
-        """Updates the backoff by whether the store replied."""
+        """Resets the backoff if the store responded; extends it otherwise."""
         if result.is_ok() or self.group is None:
             self.next_store_call_at = 0.0
             return result
@@ -167,10 +168,10 @@
     return any(node.name == name for node in nodes)
 
 
-def _change_in(body: bytes) -> row_feeds.TableChange | None:
+def _decode_reply(body: bytes) -> row_feeds.TableChange | None:
     """Decodes a reader's reply; returns None if it is malformed."""
     try:
-        return peer_rows.decode_answer(body)
+        return peer_rows.decode_reply(body)
     except ValueError:
         return None
 
--- a/src/almondshift/relay/table_watch.py
+++ b/src/almondshift/relay/table_watch.py
@@ -26,7 +26,7 @@
 
 WAIT_S = 2.5
 """Long-poll time of requests for changes, in seconds; bounds the time until a
-lost reply is noticed."""
+lost response is noticed."""
 
 RETRY_MIN_S = 0.2
 RETRY_MAX_S = 0.6
@@ -135,15 +135,15 @@
     async def _confirm(self, max_age_s: float) -> bool:
         assert self.revision is not None
         sent_at = self.clock.monotonic()
-        answer = await self.feed.wait_for_changes(self.table, self.revision, 0)
-        if answer.is_error() or answer.ok is None:
+        result = await self.feed.wait_for_changes(self.table, self.revision, 0)
+        if result.is_error() or result.ok is None:
             return False
-        self._apply(answer.ok)
-        confirmed_at = sent_at - answer.ok.age_s
+        self._apply(result.ok)
+        confirmed_at = sent_at - result.ok.age_s
         self.confirmed_at = max(self.confirmed_at, confirmed_at)
-        return answer.ok.age_s <= max_age_s
+        return result.ok.age_s <= max_age_s
 
-    async def answer_peer(self, body: bytes) -> bytes:
+    async def reply_to_peer(self, body: bytes) -> bytes:
         """Handles a peer's request; waits until there are newer rows."""
         request = peer_rows.decode_request(body)
         if self.revision is None or self.outage_since is not None:
@@ -170,11 +170,12 @@
     ) -> bytes:
         """Returns the encoded rows that changed after a revision, for a peer.
 
-        All rows, if changes after that revision may be missing here; otherwise
-        the peer would keep rows for ever that were removed before this copy
+        Returns all rows if this copy may lack changes after that revision. Else
+        the peer would keep for ever rows that were removed before this copy
         began. If the peer supports it, rows that are not newer than its
-        revision are then listed by key only. This is common when nodes restart
-        together, as their revisions are just older than this copy's first one.
+        revision are then listed by key only. This case is common when nodes
+        restart together, as their revisions are slightly older than the first
+        one of this copy.
         """
         is_whole = self.revision is not None and revision < self.complete_since
         rows = list(self.rows.values())
@@ -196,7 +197,7 @@
             else max(0.0, age_s),
             unchanged=unchanged,
         )
-        return peer_rows.encode_answer(change)
+        return peer_rows.encode_reply(change)
 
     async def _follow(self) -> None:
         while True:
@@ -220,25 +221,25 @@
         sent_at = self.clock.monotonic()
         if self.revision is None or self.outage_since is not None:
             return await self._read_whole(sent_at)
-        answer = await self.feed.wait_for_changes(
+        result = await self.feed.wait_for_changes(
             self.table, self.revision, self.wait_s
         )
-        if answer.is_error():
+        if result.is_error():
             return False
-        if answer.ok is None:
+        if result.ok is None:
             return await self._read_whole(sent_at)
-        self.confirmed_at = self.clock.monotonic() - answer.ok.age_s
-        self._apply(answer.ok)
+        self.confirmed_at = self.clock.monotonic() - result.ok.age_s
+        self._apply(result.ok)
         return True
 
     async def _read_whole(self, sent_at: float) -> bool:
         """Reads the whole table, as changes may be missing after a gap."""
-        answer = await self.feed.read_whole(self.table)
-        if answer.is_error():
+        result = await self.feed.read_whole(self.table)
+        if result.is_error():
             return False
-        self.confirmed_at = sent_at - answer.ok.age_s
+        self.confirmed_at = sent_at - result.ok.age_s
         self._note_recovery()
-        self._apply_whole(answer.ok)
+        self._apply_whole(result.ok)
         return True
 
     def _apply(self, change: row_feeds.TableChange) -> None:
@@ -298,11 +299,11 @@
         return known is None or known.revision < row.revision
 
     def _drop_tombstones(self) -> None:
-        removed = [r for r in self.rows.values() if r.value is None]
-        if len(removed) <= MAX_TOMBSTONES:
+        tombstones = [r for r in self.rows.values() if r.value is None]
+        if len(tombstones) <= MAX_TOMBSTONES:
             return
-        removed.sort(key=lambda row: row.revision)
-        for row in removed[: len(removed) - MAX_TOMBSTONES]:
+        tombstones.sort(key=lambda row: row.revision)
+        for row in tombstones[: len(tombstones) - MAX_TOMBSTONES]:
             del self.rows[row.key]
             self.complete_since = max(self.complete_since, row.revision)
 
@@ -311,9 +312,9 @@
             return
         request = peer_rows.RowRequest(self.revision or 0)
         body = peer_rows.encode_request(request)
-        for answer in await self.ask_peers(self.table, body):
+        for reply in await self.ask_peers(self.table, body):
             try:
-                rows = peer_rows.decode_answer(answer).rows
+                rows = peer_rows.decode_reply(reply).rows
             except ValueError as error:
                 log_events.emit(
                     logger,
@@ -328,8 +329,8 @@
             if self._is_newer(row):
                 self.rows[row.key] = row
                 newer.append(row)
-        # The copy's revision stays: only replies of the store show that no
-        # change before it is missing. Older rows are rejected by their own
+        # The copy's revision stays: only responses of the store show that
+        # no earlier change is missing. Older rows are rejected by their own
         # revisions.
         if newer:
             self.on_rows(newer, False)
--- a/tests/relay/test_restart_of_all_nodes.py
+++ b/tests/relay/test_restart_of_all_nodes.py
@@ -46,7 +46,7 @@
     reader: table_watch.TableWatch, after: int
 ) -> row_feeds.TableChange:
     """Returns a reader's answer to a node of the current version."""
-    return peer_rows.decode_answer(
+    return peer_rows.decode_reply(
         reader.encode_rows_after(after, takes_unchanged=True)
     )
 
@@ -62,7 +62,7 @@
     taken: list[row_feeds.FeedRow] = []
     node.on_rows = lambda rows, verified: taken.extend(rows)
     body = reader.encode_rows_after(4_000, takes_unchanged)
-    node._apply(peer_rows.decode_answer(body))
+    node._apply(peer_rows.decode_reply(body))
     live = {k: r for k, r in node.rows.items() if r.value is not None}
     assert live == after
     assert node.revision == node.complete_since == 4_002
@@ -100,7 +100,7 @@
     body = watch_at(registry(), 4_002).encode_rows_after(request.after)
     assert json.loads(body)["unchanged"] == []
     former = b'{"revision":3,"rows":[],"is_whole":false,"age_s":0.1}'
-    assert peer_rows.decode_answer(former).unchanged == frozenset()
+    assert peer_rows.decode_reply(former).unchanged == frozenset()
 
 
 @pytest.mark.parametrize(
--- a/tests/relay/test_shared_feed.py
+++ b/tests/relay/test_shared_feed.py
@@ -80,7 +80,7 @@
         age_s = self.ages.get(name, 0.1)
         if age_s is None:
             return expression.Error(errors.PeerUnreachable("silent"))
-        answer = peer_rows.encode_answer(
+        answer = peer_rows.encode_reply(
             row_feeds.TableChange((ROW,), 7, age_s=age_s)
         )
         return expression.Ok(answer)
@@ -273,7 +273,7 @@
     removed = row_feeds.FeedRow("gone", None, 110)
     watch._apply_changes(row_feeds.TableChange((removed,), 115))
     watch.confirmed_at = watch.clock.monotonic()
-    change = peer_rows.decode_answer(watch.encode_rows_after(after))
+    change = peer_rows.decode_reply(watch.encode_rows_after(after))
     assert change.is_whole is is_whole
     assert [row.key for row in change.rows] == keys
     assert change.revision == 115
@@ -288,12 +288,12 @@
     watch._apply_whole(row_feeds.TableChange((ROW,), 7))
     watch.confirmed_at = watch.clock.monotonic()
     body = peer_rows.encode_request(peer_rows.RowRequest(7, 1.0))
-    request = asyncio.create_task(watch.answer_peer(body))
+    request = asyncio.create_task(watch.reply_to_peer(body))
     await asyncio.sleep(0.02)
     assert not request.done()
     newer = row_feeds.FeedRow("k", b"w", 9)
     watch._apply_changes(row_feeds.TableChange((newer,), 9))
-    change = peer_rows.decode_answer(await request)
+    change = peer_rows.decode_reply(await request)
     assert change.rows == (newer,)
 
 
--- a/tests/relay/test_table_watch.py
+++ b/tests/relay/test_table_watch.py
@@ -99,7 +99,7 @@
 
     async def ask(topic: str, body: bytes) -> list[bytes]:
         spoilt = b'{"revision":9,"rows":[{"key":"a","value":"x","revision":9}]}'
-        return [b"not json", spoilt, await other.watch.answer_peer(body)]
+        return [b"not json", spoilt, await other.watch.reply_to_peer(body)]
 
     seen.watch.ask_peers = ask
     await seen.watch.start()
