--- a/src/almondshift/relay/engine_questions.py
+++ b/src/almondshift/relay/engine_questions.py
@@ -3,9 +3,9 @@
 Polling every engine from every node would dominate the traffic of a large
 fleet, so queries are triggered by what requests observe.
 
-A suspect engine gets no new work until it replies again. Unless it is draining,
-it also counts as lost, as it seems dead. An engine is gone if this instance
-certainly no longer runs.
+A suspect engine gets no new work until it responds again. A suspect that is not
+draining also counts as lost, as it seems dead. An engine is gone if its
+instance certainly no longer runs.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
     from almondshift.relay import stream_moves
 
 REPORT_TIMEOUT_S = 0.3
-"""Time-out of a query, in seconds; live engines reply within milliseconds."""
+"""Time-out of a query, in seconds; live engines respond within milliseconds."""
 
 PACE_QUERY_GAP_S = 1.0
 """Minimum interval between queries for one engine's pace, in seconds."""
@@ -44,8 +44,9 @@
 """Interval between queries of a suspect, in seconds."""
 
 MAX_QUERIES = 24
-"""Number of background tasks, queries and moves together, from which no memory
-query starts and peers' reports of dead engines are ignored."""
+"""Number of concurrent background tasks, queries and moves together, at which
+no more memory queries are started and peers' reports of dead engines are
+ignored."""
 
 
 logger = logging.getLogger(__name__)
@@ -74,7 +75,7 @@
     async def report(
         self, instance: str, address: str, timeout_s: float = REPORT_TIMEOUT_S
     ) -> relayed.EngineReport | None:
-        """Returns an engine's report; None if this instance does not reply.
+        """Returns an engine's report; None if this instance does not respond.
 
         The address may already belong to a newer instance that the registry
         does not list yet. If its report were attributed to this instance, the
@@ -181,7 +182,10 @@
     async def query_suspect(
         self, engine: registered_engines.RegisteredEngine, is_draining: bool
     ) -> None:
-        """Uses a suspect again if it replies, or is healthy after draining."""
+        """Clears a suspicion if the engine responds to a query.
+
+        For a draining engine its health check decides instead.
+        """
         if is_draining:
             is_back = await self.shared.refusing_engines.is_healthy(engine)
         else:
--- a/src/almondshift/relay/layer_keeper.py
+++ b/src/almondshift/relay/layer_keeper.py
@@ -28,8 +28,8 @@
 first few would have to be undone."""
 
 ORDER_TIMEOUT_S = 0.8
-"""Time-out of an order, in seconds. Engines reply within milliseconds, but
-some replies are lost."""
+"""Time-out of an order, in seconds. Engines respond within milliseconds,
+but some responses are lost."""
 
 RESEND_S = 1.0
 """Time after which an unanswered order is sent again, in seconds. Each order
@@ -58,9 +58,10 @@
             if the registry does not list them yet.
         resend_at: Monotonic time at which to send it again; None if no resend
             is due.
-        is_unanswered: Whether the engine did not reply or refused it. The
-            plan then assigns the layers to other engines as well while the
-            order is resent, since the engine may not reply for a long time.
+        is_unanswered: Whether the engine did not respond, or refused the
+            order. The plan then assigns the layers to other engines as well
+            while the order is resent, since the engine may not respond for a
+            long time.
     """
 
     layers: model_layers.LayerRange
@@ -273,12 +274,12 @@
             engine.layers is not None
             and engine.instance not in self.accepted_orders
         ):
-            did_answer = await self.fetch_accepted_orders(engine)
-            if not did_answer:
+            has_responded = await self.fetch_accepted_orders(engine)
+            if not has_responded:
                 self.mark_unanswered(engine.instance, layers)
         expected = self.accepted_orders.get(engine.instance, NO_ORDERS)
         sent_at = self.shared.clock.monotonic()
-        answer = await self.shared.engines.place(
+        response = await self.shared.engines.place(
             engine.address,
             engine.instance,
             layers.start,
@@ -292,17 +293,17 @@
             log_events.OrderAnswered(
                 engine.instance,
                 order,
-                answer.outcome.value,
+                response.outcome.value,
                 round(now - sent_at, 3),
             ),
         )
         pending = self.pending.get(engine.instance)
         if pending is None or pending.layers != layers:
             return
-        if answer.outcome is path_engines.OrderOutcome.CONFLICT:
+        if response.outcome is path_engines.OrderOutcome.CONFLICT:
             await self.fetch_accepted_orders(engine)
             pending.resend_at = self.shared.clock.monotonic() + RESEND_S
-        elif answer.outcome in (
+        elif response.outcome in (
             path_engines.OrderOutcome.UNKNOWN,
             path_engines.OrderOutcome.REFUSED,
         ):
@@ -324,12 +325,12 @@
     ) -> bool:
         """Queries how many orders an engine has accepted.
 
-        An order whose reply was lost may have been counted, and another node
+        An order whose response was lost may have been counted, and another node
         may have held the lease before.
 
         Returns:
-            Whether this instance of the engine replied. A report without a
-            start time (0) is taken for its own.
+            Whether this instance of the engine responded. A report without a
+            start time (0) is assumed to come from this instance.
         """
         report = await self.shared.engines.report(
             engine.address, ORDER_TIMEOUT_S
--- a/src/almondshift/relay/lost_engines.py
+++ b/src/almondshift/relay/lost_engines.py
@@ -33,9 +33,9 @@
     engine_tracker.Suspicion.STALLED: peers.FactKind.ENGINE_LOST,
     engine_tracker.Suspicion.DRAINING: peers.FactKind.LEAVING,
 }
-"""Kind of the fact that is published for a suspicion. Others are not published:
-the registry tells peers which engines are gone, and whether an engine refuses
-may depend on the node that asks."""
+"""Kind of the fact that is published for a suspicion. Other suspicions are not
+published: the registry tells peers which engines are gone, and whether an
+engine refuses may depend on the node that asks."""
 
 
 class LostEngines:
@@ -114,5 +114,5 @@
     tracker: engine_tracker.EngineTracker,
     relay_observer: observer.RelayObserver,
 ) -> LostEngines:
-    """Creates an exchange of dead engines; ``join`` connects it to peers."""
+    """Creates the record of lost engines; ``join`` connects it to peers."""
     return LostEngines(clock, registry, tracker, relay_observer)
--- a/src/almondshift/relay/path_probe.py
+++ b/src/almondshift/relay/path_probe.py
@@ -5,7 +5,7 @@
 events is already too long for callers. Therefore, as soon as streams are silent
 for a few times their usual interval, all engines on their paths are queried at
 once. A crashed engine refuses the connection; one that lost power or its
-network does not reply, while the others reply within milliseconds.
+network does not respond, while the others respond within milliseconds.
 
 A query may be lost, and this process may not have been scheduled. An engine
 counts as dead only if two overlapping queries fail, this node has just heard
@@ -33,7 +33,7 @@
     from almondshift.relay import stream_run
 
 QUERY_TIMEOUT_S = 0.05
-"""Time-out of a query, in seconds; live engines in the region reply within
+"""Time-out of a query, in seconds; live engines in the region respond within
 milliseconds."""
 
 SECOND_QUERY_S = 0.02
@@ -74,7 +74,7 @@
 
         Backoff is per engine: a stream that waits for a busy engine must not
         delay the probe of another stream's dead engine. A round queries all
-        engines behind silent streams, since those that reply show that this
+        engines behind silent streams, since those that respond show that this
         node's own link works.
         """
         parts = self.silent_parts(self.moves.streams(), now)
@@ -101,8 +101,9 @@
 
         Skips engines that another stream shows to be alive: most gaps concern
         a single stream and start no query. Live engines are collected only if
-        some stream is silent, since the check runs 50 times a second and this
-        would be the largest cost of streams besides forwarding their events.
+        some stream is silent, since the check runs 50 times a second and
+        collecting them would be the largest cost of streams besides forwarding
+        their events.
         """
         present = [
             (run, attempt)
@@ -134,15 +135,15 @@
 
     async def probe(self, parts: dict[str, relayed.PathPart]) -> None:
         """Runs a round over some engines."""
-        probed = ProbeRound(self.shared, self.queries, self.moves)
-        await probed.run(list(parts.values()))
+        probe_round = ProbeRound(self.shared, self.queries, self.moves)
+        await probe_round.run(list(parts.values()))
 
 
 class ProbeRound:
     """One round of queries.
 
     Attributes:
-        answered: Set once any engine has replied.
+        any_responded: Set once any engine has responded.
         lost: Instances that were found dead.
     """
 
@@ -157,7 +158,7 @@
         self.moves = moves
         self.loop = asyncio.get_running_loop()
         self.started_at = self.loop.time()
-        self.answered = asyncio.Event()
+        self.any_responded = asyncio.Event()
         self.lost: list[str] = []
 
     async def run(self, parts: list[relayed.PathPart]) -> None:
@@ -170,15 +171,15 @@
         """Checks one engine and moves streams off it if it is dead.
 
         A refused connection is known within milliseconds, so the streams of
-        that engine do not wait for the replies of the others.
+        that engine do not wait for the responses of the others.
 
         Args:
             part: The engine.
             is_peer_report: Whether another node found it dead too. Then this
                 node's own link is not at fault and is not checked.
         """
-        if await self.answers(part):
-            self.answered.set()
+        if await self.responds(part):
+            self.any_responded.set()
             return
         if not is_peer_report and not await self.is_own_link_up():
             return
@@ -193,16 +194,16 @@
         if self.shared.tracker.is_lost(part.instance):
             self.lost.append(part.instance)
 
-    async def answers(self, part: relayed.PathPart) -> bool:
-        """Returns whether one of two overlapping queries gets a reply."""
+    async def responds(self, part: relayed.PathPart) -> bool:
+        """Returns whether an engine responds to either of two queries."""
         pending = {asyncio.ensure_future(self.query(part))}
         try:
             done, _ = await asyncio.wait(pending, timeout=SECOND_QUERY_S)
             if any(query.result() for query in done):
                 return True
             pending.add(asyncio.ensure_future(self.query(part)))
-            for answered in asyncio.as_completed(pending):
-                if await answered:
+            for completed in asyncio.as_completed(pending):
+                if await completed:
                     return True
             return False
         finally:
@@ -210,7 +211,7 @@
                 query.cancel()
 
     async def query(self, part: relayed.PathPart) -> bool:
-        """Queries an engine; records its pace if it replies."""
+        """Queries an engine; records its pace if it responds."""
         report = await self.queries.report(
             part.instance, part.address, QUERY_TIMEOUT_S
         )
@@ -221,7 +222,7 @@
         return True
 
     async def is_own_link_up(self) -> bool:
-        """Returns whether some engine replies or sends events at present."""
+        """Returns whether any engine currently responds or sends events."""
         now = self.loop.time()
         for run in self.moves.streams():
             attempt = run.attempt
@@ -232,7 +233,7 @@
                 return True
         try:
             async with asyncio.timeout(QUERY_TIMEOUT_S):
-                await self.answered.wait()
+                await self.any_responded.wait()
         except TimeoutError:
             return False
         return True
--- a/src/almondshift/relay/plain_run.py
+++ b/src/almondshift/relay/plain_run.py
@@ -1,4 +1,4 @@
-"""Requests to endpoints that serve alone; responses are buffered whole."""
+"""Requests that one endpoint serves alone; responses are buffered whole."""
 
 from __future__ import annotations
 
@@ -140,8 +140,8 @@
         if attempt is None or self.is_ended or attempt.is_over:
             return
         if not self.can_end_in_time():
-            # This node stops before a retry would be answered; the first
-            # endpoint, which already had time to work, may still answer.
+            # This node stops before a retry would complete; the first
+            # endpoint, which already had time to work, may still respond.
             return
         if not self.untried() or not self.record_attempt_and_spend_retry(False):
             return
--- a/src/almondshift/relay/refusing_engines.py
+++ b/src/almondshift/relay/refusing_engines.py
@@ -1,11 +1,11 @@
 """Engines that refuse new work before the registry lists them as leaving.
 
 If engines are drained during a store outage, the registry still lists them as
-ready, and every node sends them requests. Each refusal uses up
-one of the few attempts of a request, and after some of them its caller is
-refused although other engines have room.
+ready, and every node sends them requests. Each refusal uses up one of the few
+attempts of a request, and after several refusals the caller is refused although
+other engines have capacity.
 
-An engine that is out of memory refuses in the same way and has room again
+An engine that is out of memory refuses in the same way and has capacity again
 within half a second. Therefore a refusal triggers the engine's health check,
 which fails while it drains. Such an engine gets no new work, and peers are
 notified; each checks the engine itself, since its own network path may differ.
@@ -103,7 +103,11 @@
     async def is_healthy(
         self, engine: registered_engines.RegisteredEngine
     ) -> bool | None:
-        """Returns the result of the health check; None if there is none."""
+        """Returns the result of the health check.
+
+        None if the engine's service is not configured, or if the check gave no
+        result.
+        """
         config = self.catalogue.config
         service = config.services.get(engine.service) if config else None
         if service is None:
--- a/src/almondshift/relay/runs.py
+++ b/src/almondshift/relay/runs.py
@@ -1,4 +1,4 @@
-"""Common base of streams and plain requests: deadline, end and logging."""
+"""Common base of streams and plain requests: deadlines, endings and logging."""
 
 from __future__ import annotations
 
@@ -139,8 +139,8 @@
     def record_response_time(self) -> None:
         """Records how long a complete response took.
 
-        Streams that the caller resumed are left out, as only their rest was
-        sent.
+        Streams that the caller resumed are left out, as only their remaining
+        events were sent.
         """
         if self.routed.request.last_event_id:
             return
@@ -254,7 +254,7 @@
             self.refuse(errors.DeadlinePast(detail))
 
     def cut(self) -> None:
-        """Ends the run, as the node stops before it has ended.
+        """Ends the run early, as the node stops.
 
         If the response has not begun, the caller receives an error that says
         that the request may have run. A closed connection alone would leave
--- a/src/almondshift/relay/silence_watch.py
+++ b/src/almondshift/relay/silence_watch.py
@@ -24,8 +24,8 @@
     from almondshift.relay import context
 
 ENGINE_CHECK_INTERVAL_S = 0.1
-"""Interval between checks of all engines' states, in seconds; longer than that
-of streams, since its cost grows with the fleet."""
+"""Interval between checks of the states of all engines, in seconds; longer than
+the interval for streams, since the cost grows with the fleet."""
 
 SILENT_S = 0.25
 """Silence that triggers a query, in seconds; longer than the delay of reports,
@@ -78,7 +78,7 @@
         )
 
     async def close(self) -> None:
-        """Stops."""
+        """Stops the checks, and cancels queries and moves."""
         await self.work.close()
 
     def forget(self, instance: str) -> None:
@@ -111,14 +111,16 @@
     ) -> None:
         """Checks an engine that a peer found dead, and logs the result."""
         part = relayed.PathPart(engine.instance, engine.address, 0, 0)
-        probed = path_probe.ProbeRound(self.shared, self.queries, self.moves)
-        await probed.check(part, is_peer_report=True)
+        probe_round = path_probe.ProbeRound(
+            self.shared, self.queries, self.moves
+        )
+        await probe_round.check(part, is_peer_report=True)
         self.shared.observer.emit(
             log_events.EndpointRechecked(
                 engine.instance,
                 peer,
-                bool(probed.lost),
-                round(probed.loop.time() - probed.started_at, 3),
+                bool(probe_round.lost),
+                round(probe_round.loop.time() - probe_round.started_at, 3),
             )
         )
 
@@ -170,7 +172,7 @@
     def engines_behind(
         self, first: relayed.PathPart
     ) -> dict[str, relayed.PathPart]:
-        """Returns the engines behind silent streams of a first engine."""
+        """Returns the engines of silent streams that share a first engine."""
         now = asyncio.get_running_loop().time()
         parts: dict[str, relayed.PathPart] = {}
         for run in self.moves.streams():
--- a/src/almondshift/relay/stream_moves.py
+++ b/src/almondshift/relay/stream_moves.py
@@ -27,22 +27,23 @@
 """Interval between moves of streams off engines that shut down, in seconds."""
 
 LEAVE_MARGIN_S = 0.4
-"""Streams may move to other zones this long before an engine that shuts down
-may stop, in seconds; covers the delay until its notice arrives."""
+"""Time before the earliest stop of an engine that shuts down, in seconds. From
+then on its streams may also move to other zones. Covers the delay until the
+engine's notice arrives."""
 
 LEAVE_EXTRA_S = 1.0
-"""Time after that point for which moves off the engine are retried, in
-seconds."""
+"""Time for which moves off the engine are still retried once its streams may
+move to other zones, in seconds."""
 
 
 class StreamMoves:
     """Moves a node's streams.
 
     Attributes:
-        leaving: Loop time at which it became known that an engine shuts down,
+        leaving: Loop time at which this node learnt that an engine shuts down,
             by instance.
         checked_at: Loop time of the last check of all streams.
-        late_s: Delay of that check, in seconds.
+        late_s: Delay of that check past its due time, in seconds.
     """
 
     def __init__(
@@ -86,10 +87,10 @@
     def is_streaming(self, instance: str) -> bool:
         """Returns whether streams currently receive events from an engine.
 
-        Considers only streams connected directly to the engine: a crash closes
-        their connections at once, so treating it as alive until then delays
-        nothing. Streams over slow engines have long gaps, so silence counts
-        only once it would start a probe.
+        Considers only streams connected directly to the engine. A crash closes
+        their connections at once, so treating the engine as alive until then
+        delays nothing. Streams over slow engines have long gaps between events,
+        so silence counts only once it is long enough to start a probe.
         """
         now = asyncio.get_running_loop().time() - self.unscheduled_s()
         ages_and_limits = [
@@ -113,7 +114,7 @@
         self.checked_at = now
 
     def unscheduled_s(self) -> float:
-        """Returns for how long this process was recently not scheduled.
+        """Returns for how many seconds this process was recently not scheduled.
 
         Events that arrived in the meantime have not been read yet.
         """
@@ -150,10 +151,10 @@
         if now - self.last_leave_at < LEAVE_INTERVAL_S:
             return
         self.last_leave_at = now
-        due_s = max(0.0, self.shared.engine_notice_s - LEAVE_MARGIN_S)
+        forced_after_s = max(0.0, self.shared.engine_notice_s - LEAVE_MARGIN_S)
         for instance, since in list(self.leaving.items()):
-            self.move_from(instance, is_forced=now - since > due_s)
-            if now - since > due_s + LEAVE_EXTRA_S:
+            self.move_from(instance, is_forced=now - since > forced_after_s)
+            if now - since > forced_after_s + LEAVE_EXTRA_S:
                 del self.leaving[instance]
 
     def move_from(self, instance: str, is_forced: bool) -> None:
--- a/src/almondshift/relay/stream_run.py
+++ b/src/almondshift/relay/stream_run.py
@@ -27,16 +27,16 @@
 has begun, in seconds."""
 
 NO_EVENT_SHARE = 0.75
-"""Share of the silence after which callers are assumed to disconnect. From it
-on, a stream without a first event counts against its first engine; earlier
-disconnects have other reasons."""
+"""Share of the route's ``abandon_after_s``, the silence after which callers are
+assumed to disconnect. A stream that waited at least that long without an event
+counts against its first engine; earlier disconnects have other reasons."""
 
 MAX_MOVE_ORDERS = 4
 """Maximum orders per move. Each refusal identifies another engine that is dead
 or full, and several engines of a rack may die at once."""
 
 MOVE_TIMEOUT_S = 0.4
-"""Time-out of an order, in seconds; live engines reply within milliseconds."""
+"""Time-out of an order, in seconds; live engines respond in milliseconds."""
 
 HIGHEST_PRIORITY = 9
 """Maximum priority that is sent to engines."""
@@ -53,7 +53,7 @@
             since a crashing engine resets every connection and would use up
             all attempts.
         last_id: ID of the last event that the caller has; None for none.
-        answer_tokens: Expected length of the response, in tokens.
+        response_tokens: Expected length of the response, in tokens.
         tokens: Expected length of prompt and response, in tokens.
     """
 
@@ -78,7 +78,7 @@
         expected = request.expected_tokens or request.output_tokens
         if request.output_tokens:
             expected = min(expected, request.output_tokens)
-        self.answer_tokens = float(expected)
+        self.response_tokens = float(expected)
         self.tokens = float(request.prompt_tokens + expected)
 
     def dispatch(self) -> None:
@@ -172,7 +172,7 @@
         self.start_first_event_timer()
 
     def start_first_event_timer(self) -> None:
-        """Starts a timer to run the request elsewhere without a first event."""
+        """Starts a timer to send the request elsewhere if no event arrives."""
         route = self.routed.route
         if not self.responder.head_sent and route.may_repeat:
             wait_s = self.shared.first_event_waits.overdue_s(
@@ -380,7 +380,7 @@
         """Resumes the stream on another path, or keeps it on the current one.
 
         It is kept if it may not run again and the engine may still run it: a
-        live engine counts as lost if it does not reply to a probe for a tenth
+        live engine counts as lost if it does not respond to a probe for a tenth
         of a second, and may continue the response a moment later. If the engine
         is dead, the wait ends when the caller disconnects, the connection
         closes or the route's time-out expires.
@@ -401,7 +401,7 @@
         self.retry_or_end(attempt, reason, is_not_run=False)
 
     def can_retry_after_loss(self) -> bool:
-        """Returns whether the stream may run again after a lost engine.
+        """Returns whether the stream may run again after its engine was lost.
 
         Unlike for a live engine, the current attempt does not count as one
         that may have run the request. Spends no retry budget.
@@ -446,12 +446,12 @@
     ) -> None:
         """Orders the first engine to use another path.
 
-        Forced moves do not cross zones if the stream can be resumed, from its
-        last event, on a path within one zone: its engines prefill only the
-        prompt. A move to another zone transfers all tokens of the request over
-        the link between the zones, and all other streams of the zone do the
-        same: 60 streams of 900 tokens keep a link of 26 Gbit/s busy for 1.5
-        seconds, and callers disconnect after two.
+        Forced moves do not cross zones if the stream can instead be resumed,
+        from its last event, on a path within one zone: the engines of that path
+        prefill only the prompt. A move to another zone transfers all tokens of
+        the request over the link between the zones, and all other streams of
+        the zone do the same: 60 streams of 900 tokens keep a link of 26 Gbit/s
+        busy for 1.5 seconds, and callers disconnect after two.
         """
         view = self.shared.catalogue.view(self.routed.service)
         if view is None:
@@ -488,29 +488,29 @@
         Repeated orders find several engines that died together, and skip full
         ones, within a few milliseconds each.
         """
-        answer = await self.shared.engines.repath(
+        response = await self.shared.engines.repath(
             self.routed.request.request_id, chosen.path, MOVE_TIMEOUT_S
         )
         refused_by = ""
-        if answer.outcome is path_engines.OrderOutcome.CONFLICT:
+        if response.outcome is path_engines.OrderOutcome.CONFLICT:
             refused_by = next(
                 (
                     part.instance
                     for part in chosen.path[1:]
-                    if part.address == answer.faulty_address
+                    if part.address == response.faulty_address
                 ),
                 "",
             )
         self.log_move(
             attempt,
             away_from,
-            answer.outcome.value,
+            response.outcome.value,
             format_path(chosen.path),
             refused_by,
         )
         if attempt.is_over or attempt is not self.attempt:
             return ""
-        if answer.outcome in (
+        if response.outcome in (
             path_engines.OrderOutcome.DONE,
             path_engines.OrderOutcome.BEGUN,
         ):
@@ -519,7 +519,7 @@
             self.shared.tracker.add(attempt.counted_parts, self.tokens)
             attempt.active_at = self.loop.time()
         if refused_by:
-            self.avoid_and_query(refused_by, answer.faulty_address)
+            self.avoid_and_query(refused_by, response.faulty_address)
         return refused_by
 
     def has_single_zone_path(self, away_from: str) -> bool:
@@ -566,7 +566,11 @@
     def record_no_first_event(
         self, attempt: stream_attempt.StreamAttempt
     ) -> None:
-        """Records a first engine that sent no event for nearly too long."""
+        """Counts a missing first event against the first engine.
+
+        Only if the wait was at least ``NO_EVENT_SHARE`` of the silence after
+        which callers disconnect.
+        """
         waited_s = self.loop.time() - attempt.sent_at
         if waited_s >= NO_EVENT_SHARE * self.routed.route.abandon_after_s:
             now = self.shared.clock.monotonic()
@@ -595,7 +599,7 @@
 
     def expected_response_tokens(self) -> float:
         """Returns the expected tokens of the response."""
-        return self.answer_tokens
+        return self.response_tokens
 
     def sent_event_count(self) -> int:
         """Returns the number of events sent to the caller."""
--- a/tests/relay/test_path_probe.py
+++ b/tests/relay/test_path_probe.py
@@ -108,7 +108,7 @@
     fake = FakeQueries()
     queries: Any = fake
     probed = path_probe.ProbeRound(shared, queries, moves)
-    probed.answered.set()
+    probed.any_responded.set()
     part = relayed.PathPart("e", "e:1", 0, 1)
     checked = asyncio.create_task(probed.check(part))
     await asynchronous.wait_until(lambda: len(fake.asked.get("e", [])) == 2)
