--- a/tests/relay/test_catalogue.py
+++ b/tests/relay/test_catalogue.py
@@ -10,7 +10,7 @@
 from almondshift.relay import catalogue
 from tests.platform import standin_system
 
-AWAY = -1e9
+NO_OUTAGE = -1e9
 
 
 def _catalogue() -> catalogue.Catalogue:
@@ -50,16 +50,16 @@
 
 
 @pytest.mark.parametrize(
-    ("back_at", "removed_at", "kept_until"),
+    ("outage_ended_at", "removed_at", "kept_until"),
     [
-        (AWAY, 10.0, 10.0),
+        (NO_OUTAGE, 10.0, 10.0),
         (9.0, 10.0, 10.8),
         (9.9, 10.0, 11.7),
         (5.0, 10.0, 10.0),
     ],
 )
 def test_entries_that_expire_in_a_store_outage_are_kept_for_a_while(
-    back_at: float, removed_at: float, kept_until: float
+    outage_ended_at: float, removed_at: float, kept_until: float
 ) -> None:
     """Otherwise callers would be refused although all engines are alive.
 
@@ -67,8 +67,8 @@
     engines write them again within two seconds; others are gone.
     """
     known = _catalogue()
-    known.apply_engine_row(_row("i", _engine()), 0.0, AWAY)
-    known.apply_engine_row(_row("i", None, 2), removed_at, back_at)
+    known.apply_engine_row(_row("i", _engine()), 0.0, NO_OUTAGE)
+    known.apply_engine_row(_row("i", None, 2), removed_at, outage_ended_at)
     known.expire_removals(kept_until - 0.05)
     assert ("i" in known.engines) is (kept_until > removed_at)
     known.expire_removals(kept_until + 0.05)
@@ -77,7 +77,7 @@
 
 def test_an_entry_that_comes_back_in_time_stays() -> None:
     known = _catalogue()
-    known.apply_engine_row(_row("i", _engine()), 0.0, AWAY)
+    known.apply_engine_row(_row("i", _engine()), 0.0, NO_OUTAGE)
     known.apply_whole_registry((), 10.0, 9.9)
     known.apply_engine_row(_row("i", _engine(), 3), 10.5, 9.9)
     known.expire_removals(20.0)
@@ -89,14 +89,16 @@
     reported: list[str] = []
     known.on_leaving.append(lambda engine: reported.append(engine.instance))
     for revision, state in enumerate(["ready", "draining", "draining"]):
-        known.apply_engine_row(_row("i", _engine(state), revision), 0.0, AWAY)
+        known.apply_engine_row(
+            _row("i", _engine(state), revision), 0.0, NO_OUTAGE
+        )
     assert reported == ["i"]
 
 
 def test_an_engine_with_an_unreadable_entry_gets_no_work() -> None:
     known = _catalogue()
-    known.apply_engine_row(_row("i", _engine()), 0.0, AWAY)
-    known.apply_engine_row(row_feeds.FeedRow("i", b"{", 2), 0.0, AWAY)
+    known.apply_engine_row(_row("i", _engine()), 0.0, NO_OUTAGE)
+    known.apply_engine_row(row_feeds.FeedRow("i", b"{", 2), 0.0, NO_OUTAGE)
     assert "i" not in known.engines
 
 
@@ -113,7 +115,7 @@
 ) -> None:
     """Otherwise on-call would search for an engine that is still alive."""
     known = _catalogue()
-    known.apply_engine_row(_row("i", _engine()), 0.0, AWAY)
-    known.apply_engine_row(_row("i", later, 2), 0.0, AWAY)
+    known.apply_engine_row(_row("i", _engine()), 0.0, NO_OUTAGE)
+    known.apply_engine_row(_row("i", later, 2), 0.0, NO_OUTAGE)
     reported = [r.reason for r in caplog.records if hasattr(r, "reason")]
     assert reported == [reason]
--- a/tests/relay/test_group.py
+++ b/tests/relay/test_group.py
@@ -64,11 +64,11 @@
 
 
 class FakeMembers:
-    """Peers with given seconds since their last heartbeat.
+    """Members whose last heartbeats were given times ago.
 
     Attributes:
         heard: Seconds since the last heartbeat, by peer.
-        lists: Number of times that they were listed.
+        lists: Number of times that the peers were listed.
     """
 
     def __init__(self, heard: list[float]) -> None:
@@ -87,7 +87,7 @@
 
 
 @pytest.mark.parametrize(
-    ("heard", "named"),
+    ("heard", "expected"),
     [
         ([0.2, 1.0, 3.0, 3.4, 5.0, 8.0], 4),
         ([0.2, 1.0, 5.0, 8.0], 4),
@@ -96,7 +96,7 @@
     ],
 )
 def test_peers_with_recent_heartbeats_are_advertised(
-    heard: list[float], named: int
+    heard: list[float], expected: int
 ) -> None:
     """Otherwise callers would connect to a node that lost power seconds ago.
 
@@ -105,8 +105,8 @@
     """
     members: Any = FakeMembers(heard)
     found = group.Group(members).advertised()
-    assert len(found) == named
-    if named < len(heard):
+    assert len(found) == expected
+    if expected < len(heard):
         assert (
             max(peer.silence_s for peer in found)
             <= group.MAX_ADVERTISED_SILENCE_S
--- a/tests/relay/test_layer_keeper.py
+++ b/tests/relay/test_layer_keeper.py
@@ -1,4 +1,4 @@
-"""Orders that engines do not answer."""
+"""Orders that engines do not respond to."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 LAYERS = 80
 GRANT = coordination_lease.LeaseGrant(1, 1e12)
-AWAY = -1e9
+NO_OUTAGE = -1e9
 
 Held = tuple[int, int] | None
 
@@ -144,7 +144,7 @@
     def apply_row(self, instance: str, value: bytes | None) -> None:
         self.revision += 1
         row = row_feeds.FeedRow(instance, value, self.revision)
-        self.known.apply_engine_row(row, self.clock.now, AWAY)
+        self.known.apply_engine_row(row, self.clock.now, NO_OUTAGE)
 
     async def run(self, seconds: float) -> None:
         """Runs the layer keeper for some virtual time."""
@@ -179,7 +179,7 @@
 
 @asynchronous.run
 async def test_layers_go_to_others_when_an_engine_does_not_answer() -> None:
-    """Otherwise a zone would refuse all callers until a silent engine answers.
+    """Otherwise a zone would refuse all callers until a silent engine responds.
 
     An engine is gone, and standbys are ordered to share its layers. One of them
     does not respond. Others are ordered to load its share within 1.5 s of the
@@ -200,9 +200,9 @@
 ):
     """Otherwise callers would be refused once the late order is executed.
 
-    A standby does not answer an order that replaces its layers, and may execute
-    it at any time. Until it answers, the plan must not rely on the layers that
-    it held, so other engines keep them.
+    A standby does not respond to an order that replaces its layers, and may
+    execute it at any time. Until it responds, the plan must not rely on the
+    layers that it held, so other engines keep them.
     """
     fleet = _fleet()
     fleet.engines.silent.add("s0")
@@ -215,7 +215,7 @@
 
 @asynchronous.run
 async def test_an_order_without_an_answer_is_sent_again() -> None:
-    """Otherwise an engine whose answer was lost would never get its layers.
+    """Otherwise an engine whose response was lost would never get its layers.
 
     A standby does not respond for two seconds. The same order is then sent
     again, and the standby executes it although others hold the layers by then.
@@ -235,8 +235,8 @@
 async def test_no_layers_are_moved_when_most_engines_are_silent() -> None:
     """Otherwise healthy engines would load layers, and refuse work meanwhile.
 
-    The lease holder's own link is cut, so none of its orders is answered. It
-    resends them and sends no other orders.
+    The lease holder's own link is cut, so none of its orders gets a response.
+    It resends them and sends no other orders.
     """
     fleet = _fleet()
     fleet.engines.silent.update(fleet.known.engines)
--- a/tests/relay/test_lifetimes.py
+++ b/tests/relay/test_lifetimes.py
@@ -15,7 +15,7 @@
 from almondshift.ports import row_feeds
 from almondshift.relay import catalogue
 
-AWAY = -1e9
+NO_OUTAGE = -1e9
 GOOD = {
     "service": "model",
     "address": "10.0.0.1:80",
@@ -83,9 +83,11 @@
     for revision, born in enumerate(starts, start=1):
         if born is None:
             removal = row_feeds.FeedRow("i", None, revision)
-            known.apply_engine_row(removal, 0.0, AWAY)
+            known.apply_engine_row(removal, 0.0, NO_OUTAGE)
         else:
-            known.apply_engine_row(_row("i", _born(born), revision), 0.0, AWAY)
+            known.apply_engine_row(
+                _row("i", _born(born), revision), 0.0, NO_OUTAGE
+            )
     assert _instances(known) == ([expected] if expected else [])
 
 
@@ -109,8 +111,8 @@
     known.on_restarted.append(note("restarted"))
     known.on_gone.append(note("gone"))
     known.on_engine.append(note("engine"))
-    known.apply_engine_row(_row("i", _born(5)), 0.0, AWAY)
-    known.apply_engine_row(_row("i", _born(9, layers=None), 2), 0.0, AWAY)
+    known.apply_engine_row(_row("i", _born(5)), 0.0, NO_OUTAGE)
+    known.apply_engine_row(_row("i", _born(9, layers=None), 2), 0.0, NO_OUTAGE)
     assert calls_made == [
         ("engine", "i@5"),
         ("restarted", "i@5"),
@@ -122,9 +124,9 @@
 
 def test_a_removal_drops_the_current_start() -> None:
     known = _catalogue()
-    known.apply_engine_row(_row("i", _born(5)), 0.0, AWAY)
-    known.apply_engine_row(_row("i", _born(9), 2), 0.0, AWAY)
-    known.apply_whole_registry((), 1.0, AWAY)
+    known.apply_engine_row(_row("i", _born(5)), 0.0, NO_OUTAGE)
+    known.apply_engine_row(_row("i", _born(9), 2), 0.0, NO_OUTAGE)
+    known.apply_whole_registry((), 1.0, NO_OUTAGE)
     assert _instances(known) == []
 
 
@@ -138,30 +140,32 @@
     """Applies rows that an engine writes as consecutive heartbeats."""
     for index in range(count):
         row = _row("i", _born(born), revision + index)
-        known.apply_engine_row(row, (revision + index) * HEARTBEAT_S, AWAY)
+        known.apply_engine_row(row, (revision + index) * HEARTBEAT_S, NO_OUTAGE)
 
 
 @pytest.mark.parametrize("foreign", [9, FUTURE])
 def test_a_foreign_start_that_is_not_written_again_is_overturned(
     foreign: int,
 ) -> None:
-    """Otherwise the engine would get no requests until it restarts after that.
+    """Otherwise an engine gets no requests until it has a later start time.
 
     The engine writes its row with each heartbeat. Another writer once writes a
     row under the same name with a later start time, so the engine's own rows
-    count as late rows of a previous start. As only they continue, they become
-    current again. A further foreign row with that or a later start time has no
-    effect.
+    count as late rows of a previous start. As only the engine's own rows
+    continue, they become current again. A further foreign row with that or a
+    later start time has no effect.
     """
     known = _catalogue()
     _heartbeats(known, 5, 3, 1)
-    known.apply_engine_row(_row("i", _born(foreign), 4), 4 * HEARTBEAT_S, AWAY)
+    known.apply_engine_row(
+        _row("i", _born(foreign), 4), 4 * HEARTBEAT_S, NO_OUTAGE
+    )
     assert _instances(known) == [f"i@{foreign}"]
     _heartbeats(known, 5, 6, 5)
     assert _instances(known) == ["i@5"]
     for revision, start in ((20, foreign), (21, foreign + 1)):
         row = _row("i", _born(start), revision)
-        known.apply_engine_row(row, revision * HEARTBEAT_S, AWAY)
+        known.apply_engine_row(row, revision * HEARTBEAT_S, NO_OUTAGE)
         assert _instances(known) == ["i@5"]
 
 
@@ -176,7 +180,7 @@
     _heartbeats(known, 9, 1, 2)
     late = _row("i", _born(5), 3)
     for index in range(20):
-        known.apply_engine_row(late, 4.0 + index, AWAY)
+        known.apply_engine_row(late, 4.0 + index, NO_OUTAGE)
     assert _instances(known) == ["i@9"]
 
 
@@ -249,16 +253,16 @@
     until the row is valid again.
     """
     known = _catalogue()
-    known.apply_engine_row(_row("i", GOOD), 0.0, AWAY)
+    known.apply_engine_row(_row("i", GOOD), 0.0, NO_OUTAGE)
     rows = (_row("i", entry, 3), _row("other", GOOD, 4))
     if whole:
-        known.apply_whole_registry(rows, 0.0, AWAY)
+        known.apply_whole_registry(rows, 0.0, NO_OUTAGE)
     else:
         for row in rows:
-            known.apply_engine_row(row, 0.0, AWAY)
+            known.apply_engine_row(row, 0.0, NO_OUTAGE)
     born = GOOD["born"]
     assert _instances(known) == [f"other@{born}"]
-    known.apply_engine_row(_row("i", GOOD, 5), 0.0, AWAY)
+    known.apply_engine_row(_row("i", GOOD, 5), 0.0, NO_OUTAGE)
     assert _instances(known) == [f"i@{born}", f"other@{born}"]
 
 
@@ -295,7 +299,7 @@
         row_feeds.FeedRow(f"x{index}", content, index + 2)
         for index, content in enumerate(contents)
     ]
-    known.apply_whole_registry(tuple(rows), 0.0, AWAY)
+    known.apply_whole_registry(tuple(rows), 0.0, NO_OUTAGE)
     assert f"good@{GOOD['born']}" in known.engines
     for engine in known.engines.values():
         host, _, port = engine.address.rpartition(":")
--- a/tests/relay/test_lost_engines.py
+++ b/tests/relay/test_lost_engines.py
@@ -36,9 +36,9 @@
                 "a0", engine_tracker.Suspicion.UNREACHABLE
             )
             await running.until(lambda: second.tracker.is_suspect("a0"), 1.5)
-            sent = [e for e in running.engines.values() if e is not dead]
+            alive = [e for e in running.engines.values() if e is not dead]
             assert (await whole.chat(running, "r1", node=1))[0] == 200
-            assert sum(e.ran.count("r1") for e in sent) == 1
+            assert sum(e.ran.count("r1") for e in alive) == 1
 
     asyncio.run(scenario())
 
@@ -46,8 +46,8 @@
 def test_a_healthy_engine_is_kept_despite_a_peers_report() -> None:
     """Otherwise a node with a faulty link would eject healthy engines for all.
 
-    It reports an engine as dead. Its peers query the engine, which answers, and
-    continue to use it.
+    It reports an engine as dead. Its peers query the engine, which responds,
+    and continue to use it.
     """
 
     async def scenario() -> None:
@@ -137,14 +137,14 @@
         lost.catalogue.engines["e"] = object()  # type: ignore[assignment]
     if is_suspect:
         lost.tracker.suspect("e", engine_tracker.Suspicion.STALLED, 0.0)
-    questions = []
-    lost.on_peer_report = lambda engine, peer: questions.append(peer)
+    queried = []
+    lost.on_peer_report = lambda engine, peer: queried.append(peer)
     fact = peers.Fact(
         peers.FactKind.ENGINE_LOST, "e", 1, origin, 3.0, b'"stalled"'
     )
     lost.handle_fact("e", fact)
     lost.handle_fact("e", None)
-    assert questions == [origin] * asked
+    assert queried == [origin] * asked
 
 
 class FakeObserver:
@@ -162,10 +162,10 @@
 ) -> tuple[lost_engines.LostEngines, FakeGroup]:
     registry: Any = FakeCatalogue()
     seen: Any = FakeObserver()
-    made = lost_engines.create_lost_engines(
+    created = lost_engines.create_lost_engines(
         network.ManualClock(), registry, engine_tracker.EngineTracker(), seen
     )
     group = FakeGroup(already_published)
     joined: Any = group
-    made.join(joined)
-    return made, group
+    created.join(joined)
+    return created, group
--- a/tests/relay/test_path_probe.py
+++ b/tests/relay/test_path_probe.py
@@ -23,9 +23,9 @@
     from almondshift.relay import stream_run
 
 
-@pytest.mark.parametrize("is_dark", [False, True])
+@pytest.mark.parametrize("is_silent", [False, True])
 def test_streams_leave_a_dead_engine_before_they_are_late(
-    is_dark: bool,
+    is_silent: bool,
 ) -> None:
     """A stream is late after a gap of 200 ms.
 
@@ -56,34 +56,34 @@
             part = run.attempt.path[1]  # type: ignore[attr-defined]
             dead = running.cluster.engines[part.address]
             dead.is_dead = True
-            if not is_dark:
+            if not is_silent:
                 await dead.close()
             status, _, body = await stream
             assert status == 200
             assert len(whole.tokens(body)) == 60
             assert moves[0].outcome == "done"
             # 0.1 s for two unanswered queries, and the silence before them.
-            assert moves[0].silent_s < (0.30 if is_dark else 0.20)
+            assert moves[0].silent_s < (0.30 if is_silent else 0.20)
 
     asyncio.run(scenario())
 
 
 class FakeQueries:
-    """Engines whose answers the test controls.
+    """Engines whose responses the test controls.
 
     Attributes:
-        asked: Outcomes of queries, set by the test, by engine.
+        queried: Outcomes of queries, set by the test, by engine.
     """
 
     def __init__(self) -> None:
-        self.asked: dict[str, list[asyncio.Future[bool]]] = {}
+        self.queried: dict[str, list[asyncio.Future[bool]]] = {}
 
     async def report(
         self, instance: str, address: str, timeout_s: float
     ) -> relayed.EngineReport | None:
         del address, timeout_s
         outcome = asyncio.get_running_loop().create_future()
-        self.asked.setdefault(instance, []).append(outcome)
+        self.queried.setdefault(instance, []).append(outcome)
         if not await outcome:
             return None
         return relayed.EngineReport(1.0, 0.0, 0.0, 0, 0, False, 0, ())
@@ -107,16 +107,16 @@
     moves: Any = FakeMoves(shared.tracker)
     fake = FakeQueries()
     queries: Any = fake
-    probed = path_probe.ProbeRound(shared, queries, moves)
-    probed.any_responded.set()
+    probe_round = path_probe.ProbeRound(shared, queries, moves)
+    probe_round.any_responded.set()
     part = relayed.PathPart("e", "e:1", 0, 1)
-    checked = asyncio.create_task(probed.check(part))
-    await asynchronous.wait_until(lambda: len(fake.asked.get("e", [])) == 2)
-    for query, outcome in zip(fake.asked["e"], outcomes, strict=True):
+    checked = asyncio.create_task(probe_round.check(part))
+    await asynchronous.wait_until(lambda: len(fake.queried.get("e", [])) == 2)
+    for query, outcome in zip(fake.queried["e"], outcomes, strict=True):
         if outcome is not None:
             query.set_result(outcome)
     await checked
-    assert probed.lost == (["e"] if is_lost else [])
+    assert probe_round.lost == (["e"] if is_lost else [])
 
 
 @asynchronous.run
@@ -134,7 +134,7 @@
     moves.runs.append(FakeRun(0.35, ["dead"]))
     probe.start_due_round(2.1)
     assert len(work) == 2
-    await asynchronous.wait_until(lambda: "dead" in queries.asked)
+    await asynchronous.wait_until(lambda: "dead" in queries.queried)
     await work.close()
 
 
@@ -198,8 +198,8 @@
 ) -> None:
     """Queries to engines that work are useless.
 
-    A gap of one stream does not concern its engines if other streams over them
-    have none. A slow stream counts as silent only after a longer time.
+    A gap in one stream does not involve an engine if another stream over it has
+    no gap. A slow stream counts as silent only after a longer time.
     """
     shared: Any = FakeShared()
     nothing: Any = None
--- a/tests/relay/test_restart_of_all_nodes.py
+++ b/tests/relay/test_restart_of_all_nodes.py
@@ -42,10 +42,10 @@
     return watch
 
 
-def answer_of(
+def reply_of(
     reader: table_watch.TableWatch, after: int
 ) -> row_feeds.TableChange:
-    """Returns a reader's answer to a node of the current version."""
+    """Returns a reader's reply to a node of the current version."""
     return peer_rows.decode_reply(
         reader.encode_rows_after(after, takes_unchanged=True)
     )
@@ -80,14 +80,14 @@
     node = watch_at(registry(), 4_000)
     fresh = row_feeds.FeedRow("fresh", b"{}", 5_000)
     node._apply_peer_rows((fresh,))
-    change = answer_of(watch_at(registry(), 4_002), 4_000)
+    change = reply_of(watch_at(registry(), 4_002), 4_000)
     node._apply(change)
     assert node.rows["fresh"] == fresh
 
 
 def test_a_node_without_a_copy_gets_all_rows() -> None:
     """Otherwise rows that the node never received would be left out."""
-    change = answer_of(watch_at(registry(), 4_002), -1)
+    change = reply_of(watch_at(registry(), 4_002), -1)
     assert change.is_whole
     assert not change.unchanged
     assert len(change.rows) == ENGINES
@@ -121,9 +121,9 @@
     known = catalogues._catalogue()
     rows = [catalogues._row(f"e{i}", catalogues._engine())
             for i in range(engines)]  # fmt: skip
-    known.apply_whole_registry(tuple(rows), 0.0, catalogues.AWAY)
+    known.apply_whole_registry(tuple(rows), 0.0, catalogues.NO_OUTAGE)
     assert seen == codes
     known.apply_engine_row(
-        catalogues._row("late", catalogues._engine()), 0.0, catalogues.AWAY
+        catalogues._row("late", catalogues._engine()), 0.0, catalogues.NO_OUTAGE
     )
     assert seen == [*codes, "AS4001"]
--- a/tests/relay/test_shared_feed.py
+++ b/tests/relay/test_shared_feed.py
@@ -55,7 +55,7 @@
     """The group as one node sees it.
 
     Attributes:
-        ages: Age of a reader's copy by name; None if it does not respond.
+        ages: Age of a reader's copy by name; None if it does not reply.
         asked: Names of the readers that were asked.
     """
 
@@ -80,10 +80,10 @@
         age_s = self.ages.get(name, 0.1)
         if age_s is None:
             return expression.Error(errors.PeerUnreachable("silent"))
-        answer = peer_rows.encode_reply(
+        reply = peer_rows.encode_reply(
             row_feeds.TableChange((ROW,), 7, age_s=age_s)
         )
-        return expression.Ok(answer)
+        return expression.Ok(reply)
 
 
 class Asker:
@@ -100,8 +100,8 @@
         self.feed.group = group
 
     async def ask(self) -> bool:
-        answer = await self.feed.wait_for_changes("t", 3, 1.0)
-        return answer.is_ok()
+        result = await self.feed.wait_for_changes("t", 3, 1.0)
+        return result.is_ok()
 
 
 @pytest.mark.parametrize(
@@ -131,7 +131,7 @@
 
 
 def test_requests_are_spread_evenly_over_readers() -> None:
-    """A reader that most nodes prefer would be overloaded and answer late."""
+    """A reader that most nodes prefer would be overloaded and reply late."""
     readers = feed_readers.chosen_readers(MANY).chosen
     first = [feed_readers.own_order(n.name, readers)[0] for n in MANY]
     assert all(first.count(r.name) <= len(MANY) / 2 for r in readers)
@@ -152,7 +152,7 @@
 ) -> None:
     """Otherwise a reader that lost the store would withhold changes.
 
-    If its copy is too old or it does not respond, the node asks its other
+    If its copy is too old or it does not reply, the node asks its other
     reader at once, and then the store itself.
     """
     asker = Asker("n40")
@@ -214,8 +214,8 @@
     """Load: 76 nodes lose the store at once and retry for 10 s.
 
     Each follows two tables and retries about 2.5 times a second, which would be
-    380 calls a second, all of them billed. Three readers keep this rate. The
-    others together make about 20 calls a second, and learn from the readers
+    380 calls a second, all of them billed. Only three readers keep their rate.
+    The others together make about 20 calls a second, and learn from the readers
     when the store is back.
     """
 
@@ -303,6 +303,6 @@
     clock = network.ManualClock()
     watch = table_watch.create_table_watch(feed, "t", clock, random.Random(1))
     watch._apply_whole(row_feeds.TableChange((ROW,), 7))
-    answers = await asyncio.gather(*(watch.confirm(0.5) for _ in range(9)))
-    assert answers == [True] * 9
+    results = await asyncio.gather(*(watch.confirm(0.5) for _ in range(9)))
+    assert results == [True] * 9
     assert feed.calls == 1
--- a/tests/relay/test_stream_moves.py
+++ b/tests/relay/test_stream_moves.py
@@ -28,7 +28,7 @@
 async def test_streams_stay_in_their_zone_during_the_notice_period(
     notice_s: float, since_s: float, may_leave_zone: bool
 ) -> None:
-    """Streams that move too early stutter over the links between zones."""
+    """Streams that move too early get event gaps on the links between zones."""
     shared: Any = types.SimpleNamespace(engine_notice_s=notice_s)
     moves = stream_moves.StreamMoves(shared, background.Background())
     moves.leaving["e"] = asyncio.get_running_loop().time() - since_s
--- a/tests/relay/test_table_watch.py
+++ b/tests/relay/test_table_watch.py
@@ -16,12 +16,12 @@
 
 
 class FakeFeed(row_feeds.RowFeed):
-    """A store with answers that tests set.
+    """A store whose responses tests set.
 
     Attributes:
         whole: Rows of a full read.
         revision: Revision of a full read.
-        changes: Answers to requests for changes, in order.
+        changes: Responses to requests for changes, in order.
         is_away: Whether all calls fail.
         whole_reads: Number of full reads.
     """
@@ -74,7 +74,7 @@
 async def test_a_dropped_history_causes_a_full_read() -> None:
     """Otherwise a node would act on rows that were removed in the gap.
 
-    The store dropped its history, so it cannot answer the next request for
+    The store dropped its history, so it cannot serve the next request for
     changes. The node reads the whole table, which lacks the removed row.
     """
     feed = FakeFeed()
