--- a/src/almondshift/relay/crash_watch.py
+++ b/src/almondshift/relay/crash_watch.py
@@ -45,7 +45,7 @@
 CRASH = "crash"
 CLEARED = "cleared"
 """Topics of facts, the first part of their keys: requests that an endpoint ran
-when it crashed, and requests that were answered successfully."""
+when it crashed, and requests that an endpoint completed successfully."""
 
 FINGERPRINTS_DECODER = msgspec.json.Decoder(list[str])
 
@@ -170,9 +170,9 @@
                 if self.strikes.strike(f, strike_name, now)
             )
         )
-        answered = self.strikes.known_good(fingerprints)
-        if answered:
-            self.publish_fingerprints(CLEARED, instance, answered)
+        completed = self.strikes.known_good(fingerprints)
+        if completed:
+            self.publish_fingerprints(CLEARED, instance, completed)
 
     def log_convicted(self, fingerprints: tuple[str, ...]) -> None:
         """Logs requests that are refused from now on."""
--- a/src/almondshift/relay/path_probe.py
+++ b/src/almondshift/relay/path_probe.py
@@ -105,24 +105,24 @@
         collecting them would be the largest cost of streams besides forwarding
         their events.
         """
-        present = [
+        not_moving = [
             (run, attempt)
             for run in streams
             if (attempt := run.attempt) is not None and not attempt.is_moving
         ]
         silent = [
             (run, attempt)
-            for run, attempt in present
+            for run, attempt in not_moving
             if now - attempt.active_at >= probe_timing.MIN_SILENT_S
             and now - attempt.active_at >= silence_limit_s(run)
         ]
         if not silent:
             return {}
-        waiting = {run for run, _ in silent}
+        silent_runs = {run for run, _ in silent}
         alive = {
             part.instance
-            for run, attempt in present
-            if run.events_sent and run not in waiting
+            for run, attempt in not_moving
+            if run.events_sent and run not in silent_runs
             for part in attempt.path
         }
         return {
