--- a/tests/relay/test_restart_of_all_nodes.py
+++ b/tests/relay/test_restart_of_all_nodes.py
@@ -42,11 +42,11 @@
     return watch
 
 
-def answer_of(
+def reply_of(
     reader: table_watch.TableWatch, after: int
 ) -> row_feeds.TableChange:
-    """Returns a reader's answer to a node of the current version."""
-    return peer_rows.decode_answer(
+    """Returns a reader's reply to a node of the current version."""
+    return peer_rows.decode_reply(
         reader.encode_rows_after(after, takes_unchanged=True)
     )
 
@@ -62,7 +62,7 @@
     taken: list[row_feeds.FeedRow] = []
     node.on_rows = lambda rows, verified: taken.extend(rows)
     body = reader.encode_rows_after(4_000, takes_unchanged)
-    node._apply(peer_rows.decode_answer(body))
+    node._apply(peer_rows.decode_reply(body))
     live = {k: r for k, r in node.rows.items() if r.value is not None}
     assert live == after
     assert node.revision == node.complete_since == 4_002
@@ -80,14 +80,14 @@
     node = watch_at(registry(), 4_000)
     fresh = row_feeds.FeedRow("fresh", b"{}", 5_000)
     node._apply_peer_rows((fresh,))
-    change = answer_of(watch_at(registry(), 4_002), 4_000)
+    change = reply_of(watch_at(registry(), 4_002), 4_000)
     node._apply(change)
     assert node.rows["fresh"] == fresh
 
 
 def test_a_node_without_a_copy_gets_all_rows() -> None:
     """Otherwise rows that the node never received would be left out."""
-    change = answer_of(watch_at(registry(), 4_002), -1)
+    change = reply_of(watch_at(registry(), 4_002), -1)
     assert change.is_whole
     assert not change.unchanged
     assert len(change.rows) == ENGINES
@@ -100,7 +100,7 @@
     body = watch_at(registry(), 4_002).encode_rows_after(request.after)
     assert json.loads(body)["unchanged"] == []
     former = b'{"revision":3,"rows":[],"is_whole":false,"age_s":0.1}'
-    assert peer_rows.decode_answer(former).unchanged == frozenset()
+    assert peer_rows.decode_reply(former).unchanged == frozenset()
 
 
 @pytest.mark.parametrize(
@@ -121,9 +121,9 @@
     known = catalogues._catalogue()
     rows = [catalogues._row(f"e{i}", catalogues._engine())
             for i in range(engines)]  # fmt: skip
-    known.apply_whole_registry(tuple(rows), 0.0, catalogues.AWAY)
+    known.apply_whole_registry(tuple(rows), 0.0, catalogues.NO_OUTAGE)
     assert seen == codes
     known.apply_engine_row(
-        catalogues._row("late", catalogues._engine()), 0.0, catalogues.AWAY
+        catalogues._row("late", catalogues._engine()), 0.0, catalogues.NO_OUTAGE
     )
     assert seen == [*codes, "AS4001"]
